--- a/src/persimmonrail/admission/admission_queue.cpp
+++ b/src/persimmonrail/admission/admission_queue.cpp
@@ -301,7 +301,7 @@
     --rank.running;
     if (outcome == request_outcome::Run) {
         rank.service += (seconds - rank.service) * smoothing;
-        m_limit.noteAnswer(request.rank, latency, now);
+        m_limit.recordResponse(request.rank, latency, now);
     } else if (isOverload(outcome, reason, seconds, rank.service)) {
         m_limit.noteOverload(now);
     }
--- a/src/persimmonrail/admission/concurrency_limit.cpp
+++ b/src/persimmonrail/admission/concurrency_limit.cpp
@@ -21,10 +21,10 @@
 constexpr double helpedShare = 0.85;
 // The usual latency adapts downwards by answers and upwards by time. At thousands of answers a
 // second, a bound in answers made queues in the upstream pass for slower work within seconds.
-constexpr double answersToLearnDown = 1000;
+constexpr double responsesToLearnDown = 1000;
 // Until then the usual latency of a rank is the mean of all its answers, since a rank may have
 // only a few answers in its first window.
-constexpr int answersToKnow = 400;
+constexpr int responsesToKnow = 400;
 constexpr double secondsToLearnUp = 30;
 constexpr double overloadFactor = 0.8;
 // Requests in flight when the limit was lowered may still be refused within this time.
@@ -62,7 +62,8 @@
     return std::clamp(static_cast<int>(std::lround(m_limit)), 1, m_slots);
 }
 
-void concurrency_limit::noteAnswer(size_t rank, std::chrono::nanoseconds latency, steady_time now)
+void concurrency_limit::recordResponse(size_t rank, std::chrono::nanoseconds latency,
+                                       steady_time now)
 {
     if (m_toIgnore > 0) {
         --m_toIgnore;
@@ -140,12 +141,12 @@
             continue;
         }
         const double mean = rank.windowSum / rank.windowCount;
-        rank.answers += rank.windowCount;
-        if (rank.answers <= answersToKnow) {
-            rank.usual += (mean - rank.usual) * rank.windowCount / rank.answers;
+        rank.responses += rank.windowCount;
+        if (rank.responses <= responsesToKnow) {
+            rank.usual += (mean - rank.usual) * rank.windowCount / rank.responses;
         } else {
             const double weight = mean > rank.usual ? seconds / secondsToLearnUp
-                                                    : rank.windowCount / answersToLearnDown;
+                                                    : rank.windowCount / responsesToLearnDown;
             rank.usual += (mean - rank.usual) * std::min(1.0, weight);
         }
     }
--- a/src/persimmonrail/admission/concurrency_limit.h
+++ b/src/persimmonrail/admission/concurrency_limit.h
@@ -25,7 +25,7 @@
     int current() const;
 
     // A whole answer. `rank` tells latencies of different kinds of work apart.
-    void noteAnswer(size_t rank, std::chrono::nanoseconds latency, steady_time now);
+    void recordResponse(size_t rank, std::chrono::nanoseconds latency, steady_time now);
     // The upstream refused a request for lack of room, or an answer was lost.
     void noteOverload(steady_time now);
 
@@ -34,7 +34,7 @@
     {
         // Seconds in calm times; 0 until the first calm window has ended.
         double usual = 0;
-        int answers = 0;
+        int responses = 0;
         double windowSum = 0;
         int windowCount = 0;
     };
--- a/src/persimmonrail/admission/tests/concurrency_limit_test.cpp
+++ b/src/persimmonrail/admission/tests/concurrency_limit_test.cpp
@@ -21,7 +21,7 @@
     std::mt19937_64 random{7};
     steady_time now = start;
 
-    void answer(concurrency_limit &limit, int count)
+    void respond(concurrency_limit &limit, int count)
     {
         std::exponential_distribution<double> service(200);
         for (int i = 0; i < count; ++i) {
@@ -29,7 +29,7 @@
             const auto latency = std::chrono::duration_cast<std::chrono::nanoseconds>(
                 std::chrono::duration<double>(service(random) * slowness * queueing));
             now += 1ms;
-            limit.noteAnswer(0, latency, now);
+            limit.recordResponse(0, latency, now);
         }
     }
 };
@@ -56,14 +56,14 @@
         INFO(row.description);
         concurrency_limit limit(10);
         fake_upstream upstream;
-        upstream.answer(limit, 2000);
+        upstream.respond(limit, 2000);
         REQUIRE(limit.current() == 10);
         row.change(upstream);
-        upstream.answer(limit, 1000);
+        upstream.respond(limit, 1000);
         CHECK(limit.current() >= row.lowest);
         CHECK(limit.current() <= row.highest);
         upstream.room = 10;
-        upstream.answer(limit, 2000);
+        upstream.respond(limit, 2000);
         CHECK(limit.current() == 10);
     }
 }
@@ -74,10 +74,10 @@
 {
     concurrency_limit limit(10);
     fake_upstream upstream;
-    upstream.answer(limit, 1000);
+    upstream.respond(limit, 1000);
     int refusals = 0;
     for (int i = 0; i < 20000; ++i) {
-        upstream.answer(limit, 1);
+        upstream.respond(limit, 1);
         if (limit.current() > 5) {
             limit.noteOverload(upstream.now);
             ++refusals;
@@ -87,7 +87,7 @@
     CHECK(limit.current() >= 4);
     // The echo of 50 ms may count several times while the limit comes down from 10.
     CHECK(refusals < 300);
-    upstream.answer(limit, 12000);
+    upstream.respond(limit, 12000);
     CHECK(limit.current() == 10);
     limit.setSlots(4);
     CHECK(limit.current() == 4);
@@ -100,17 +100,17 @@
 {
     concurrency_limit limit(10);
     fake_upstream upstream;
-    upstream.answer(limit, 2000);
+    upstream.respond(limit, 2000);
     limit.restart(upstream.now);
     CHECK(limit.current() <= 3);
     upstream.slowness = 10;
-    upstream.answer(limit, 1000);
+    upstream.respond(limit, 1000);
     CHECK(limit.current() <= 3);
     upstream.slowness = 1;
-    upstream.answer(limit, 300);
+    upstream.respond(limit, 300);
     CHECK(limit.current() > 3);
     CHECK(limit.current() < 10);
-    upstream.answer(limit, 2000);
+    upstream.respond(limit, 2000);
     CHECK(limit.current() == 10);
 }
 
@@ -150,12 +150,12 @@
 {
     concurrency_limit limit(10);
     fake_upstream upstream;
-    upstream.answer(limit, 2000);
+    upstream.respond(limit, 2000);
     upstream.slowness = 2;
-    upstream.answer(limit, 100);
+    upstream.respond(limit, 100);
     upstream.slowness = 1;
     for (int i = 0; i < 500; ++i) {
         CHECK(limit.current() == 10);
-        upstream.answer(limit, 1);
+        upstream.respond(limit, 1);
     }
 }
--- a/src/persimmonrail/balance/coordinator.cpp
+++ b/src/persimmonrail/balance/coordinator.cpp
@@ -95,14 +95,14 @@
 
 milliseconds coordinator::pingInterval(size_t members) const
 {
-    return std::clamp(memberPingPerMember * static_cast<int64_t>(members), memberPingMinimum,
-                      memberPingMaximum);
+    return std::clamp(memberPingPerMember * static_cast<int64_t>(members), minMemberPing,
+                      maxMemberPing);
 }
 
 std::vector<member_record> coordinator::duePings(steady_time now)
 {
     std::map<std::string_view, member_record> due;
-    const auto addElection = [&](const rank_election &election) {
+    const auto addElection = [&](const rendezvous_election &election) {
         for (const auto &target : election.pingTargets()) {
             auto &pingedAt = m_electionPings.try_emplace(target.id.name).first->second;
             if (now - pingedAt + pingSlack >= electionPingInterval) {
@@ -144,11 +144,11 @@
     return result;
 }
 
-void coordinator::noteAnswer(const instance_id &member, steady_time now)
+void coordinator::recordResponse(const instance_id &member, steady_time now)
 {
-    m_fallback.noteAnswer(member.name, now);
+    m_fallback.recordResponse(member.name, now);
     if (m_election) {
-        m_election->noteAnswer(member.name, now);
+        m_election->recordResponse(member.name, now);
     }
     const auto entry = m_members.find(member);
     if (entry != m_members.end()) {
@@ -187,7 +187,7 @@
 
 milliseconds coordinator::silenceAllowed() const
 {
-    return pingInterval(m_serviceMembers.size()) + lateAnswer;
+    return pingInterval(m_serviceMembers.size()) + lateReply;
 }
 
 bool coordinator::knowsConditions(steady_time now) const
--- a/src/persimmonrail/balance/coordinator.h
+++ b/src/persimmonrail/balance/coordinator.h
@@ -2,7 +2,7 @@
 
 #include "persimmonrail/balance/placement_plan.h"
 #include "persimmonrail/objects/object_api.h"
-#include "persimmonrail/sync/rank_election.h"
+#include "persimmonrail/sync/rendezvous_election.h"
 
 #include <functional>
 #include <map>
@@ -19,12 +19,12 @@
 // The coordinator pings each member of its service once per interval. The interval grows with the
 // service, so that a coordinator sends at most 100 pings a second up to 1,000 members.
 inline constexpr milliseconds memberPingPerMember{10};
-inline constexpr milliseconds memberPingMinimum{1000};
-inline constexpr milliseconds memberPingMaximum{10000};
+inline constexpr milliseconds minMemberPing{1000};
+inline constexpr milliseconds maxMemberPing{10000};
 // A member whose answer to a ping is late by this time is given no partitions. A failover takes a
 // little over 1 s, and the imbalance it leaves must not be evened out by moves back to a member
 // that is paused; a wrong belief only delays a placement.
-inline constexpr milliseconds lateAnswer{500};
+inline constexpr milliseconds lateReply{500};
 // A service without records is placed once its members have not changed for this time, so that
 // instances that start together share the first placement without moves.
 inline constexpr std::chrono::seconds initialSettleTime{2};
@@ -70,7 +70,7 @@
 
     // Members that are due for a ping at `now`; to be called every 250 ms or so.
     std::vector<member_record> duePings(steady_time now);
-    void noteAnswer(const instance_id &member, steady_time now);
+    void recordResponse(const instance_id &member, steady_time now);
     void noteConfirmation(const instance_id &helper, const instance_id &suspect, bool answered,
                           steady_time now);
 
@@ -121,8 +121,8 @@
     hooks m_hooks;
     std::shared_ptr<const fleet_view> m_view;
     std::string m_service;
-    std::optional<rank_election> m_election;
-    rank_election m_fallback;
+    std::optional<rendezvous_election> m_election;
+    rendezvous_election m_fallback;
     // Members of the own service, to notice a change.
     std::vector<instance_id> m_serviceMembers;
     steady_time m_membersChangedAt{};
--- a/src/persimmonrail/balance/tests/coordinator_test.cpp
+++ b/src/persimmonrail/balance/tests/coordinator_test.cpp
@@ -38,7 +38,7 @@
                 for (const auto &target : coordinator.duePings(m_now)) {
                     if (dead.count(target.id.name) + dead.count(name) == 0
                         && cut.count({name, target.id.name}) == 0) {
-                        coordinator.noteAnswer(target.id, m_now);
+                        coordinator.recordResponse(target.id, m_now);
                     }
                 }
                 if (dead.count(name) == 0) {
@@ -191,12 +191,12 @@
 // Guards against partitions that are given to a member which doesn't answer.
 TEST_CASE("a silent member is given nothing")
 {
-    const bool answersAtFirst = GENERATE(false, true);
+    const bool repliesAtFirst = GENERATE(false, true);
     coordinator_fleet run(5, 600);
     run.run(20s);
     REQUIRE(run.fleet().spread() == 0);
     run.fleet().join("i5");
-    if (!answersAtFirst) {
+    if (!repliesAtFirst) {
         run.dead.insert("i5");
     }
     run.publish();
@@ -205,8 +205,8 @@
     // Two moves start every 250 ms until three pings are missed; its share would be 100.
     run.run(10s);
     const int given = run.fleet().counts()["i5"];
-    CHECK(given >= (answersAtFirst ? 1 : 0));
-    CHECK(given <= (answersAtFirst ? 50 : 0));
+    CHECK(given >= (repliesAtFirst ? 1 : 0));
+    CHECK(given <= (repliesAtFirst ? 50 : 0));
     run.run(40s);
     CHECK(run.fleet().counts()["i5"] == given);
 }
--- a/src/persimmonrail/base/backoff.cpp
+++ b/src/persimmonrail/base/backoff.cpp
@@ -17,7 +17,7 @@
     m_current = std::min(m_maximum, m_current * 2);
     const auto lower = upper / 2;
     return lower
-        + milliseconds(drawBelow(m_random, static_cast<uint64_t>((upper - lower).count()) + 1));
+        + milliseconds(randomBelow(m_random, static_cast<uint64_t>((upper - lower).count()) + 1));
 }
 
 void backoff::reset()
--- a/src/persimmonrail/base/instance_id.cpp
+++ b/src/persimmonrail/base/instance_id.cpp
@@ -11,7 +11,7 @@
     return absl::StrCat(id.name, "/", absl::Hex(id.incarnation, absl::kZeroPad16));
 }
 
-uint64_t drawIncarnation()
+uint64_t generateIncarnation()
 {
     std::random_device device;
     uint64_t value = 0;
--- a/src/persimmonrail/base/instance_id.h
+++ b/src/persimmonrail/base/instance_id.h
@@ -26,6 +26,6 @@
 std::string toString(const instance_id &id);
 
 // Draws an incarnation from the system's random device; never 0.
-uint64_t drawIncarnation();
+uint64_t generateIncarnation();
 
 } // namespace persimmonrail
--- a/src/persimmonrail/base/random_source.h
+++ b/src/persimmonrail/base/random_source.h
@@ -10,13 +10,13 @@
 using random_source = std::function<uint64_t()>;
 
 // Returns a number from 0 to `bound` - 1; `bound` must not be 0.
-inline uint64_t drawBelow(const random_source &random, uint64_t bound)
+inline uint64_t randomBelow(const random_source &random, uint64_t bound)
 {
     return random() % bound;
 }
 
 // Returns a number in [0, 1).
-inline double drawFraction(const random_source &random)
+inline double randomFraction(const random_source &random)
 {
     // A double holds 53 bits exactly.
     return static_cast<double>(random() >> 11) * 0x1p-53;
--- a/src/persimmonrail/base/tests/base_test.cpp
+++ b/src/persimmonrail/base/tests/base_test.cpp
@@ -52,6 +52,6 @@
 TEST_CASE("an instance is written as name and incarnation", "[base]")
 {
     CHECK(toString(instance_id{"haulbook-1", 0xabc}) == "haulbook-1/0000000000000abc");
-    CHECK(drawIncarnation() != 0);
-    CHECK(drawIncarnation() != drawIncarnation());
+    CHECK(generateIncarnation() != 0);
+    CHECK(generateIncarnation() != generateIncarnation());
 }
--- a/src/persimmonrail/cli/system_hooks.cpp
+++ b/src/persimmonrail/cli/system_hooks.cpp
@@ -22,15 +22,15 @@
         return parsed.status();
     }
     http_connection_pool pool(*parsed, callTimeout);
-    auto answer = pool.exchange({"GET", target, "", callTimeout, true});
-    if (!answer.ok()) {
-        return answer.status();
+    auto response = pool.exchange({"GET", target, "", callTimeout, true});
+    if (!response.ok()) {
+        return response.status();
     }
-    if (answer->status != 200) {
+    if (response->status != 200) {
         return absl::UnavailableError(
-            absl::StrCat(address, " answered ", answer->status, ": ", answer->body));
+            absl::StrCat(address, " answered ", response->status, ": ", response->body));
     }
-    return std::move(answer->body);
+    return std::move(response->body);
 }
 
 absl::StatusOr<std::string> readFile(const std::string &path)
--- a/src/persimmonrail/cli/tests/command_line_test.cpp
+++ b/src/persimmonrail/cli/tests/command_line_test.cpp
@@ -190,7 +190,7 @@
     REQUIRE(f.api.put("config/ledger", 0, valid).ok());
     SECTION("the write took effect")
     {
-        f.standin.dropAnswers(1);
+        f.standin.dropResponses(1);
         auto coordinator = f.coordinate(1);
         const auto applied = f.run({"apply", "changed"});
         coordinator.get();
@@ -242,7 +242,7 @@
     {
         auto failing = f.api;
         failing.put = [&](const std::string &key, uint64_t version, const std::string &value) {
-            f.standin.dropAnswers(1);
+            f.standin.dropResponses(1);
             auto written = f.api.put(key, version, value);
             f.standin.setOutage(true);
             return written;
@@ -302,12 +302,12 @@
 TEST_CASE("explain prints the daemon's answer line by line", "[cli]")
 {
     standins::json_server daemon("127.0.0.1:0", 1, [](const standins::json_call &call) {
-        standins::json_answer answer{call.path == "/v1/explain" ? 200 : 404};
-        answer.body->set("key", call.text("service") + "/" + call.text("key"));
+        standins::json_response response{call.path == "/v1/explain" ? 200 : 404};
+        response.body->set("key", call.text("service") + "/" + call.text("key"));
         Poco::JSON::Object owner;
         owner.set("name", "ledger-1");
-        answer.body->set("owner", owner);
-        return answer;
+        response.body->set("owner", owner);
+        return response;
     });
     fixture f;
     const auto explained = f.run({"explain", "--daemon", daemon.address(), "ledger", "a&b=c"});
--- a/src/persimmonrail/daemon/coordinator_driver.cpp
+++ b/src/persimmonrail/daemon/coordinator_driver.cpp
@@ -17,7 +17,7 @@
 
 coordinator_driver::coordinator_driver(const instance_id &self, const std::string &availabilityZone,
                                        control_messenger &messenger, platform_worker &platform,
-                                       const object_store &store, decision_log &log)
+                                       const object_replica &store, decision_log &log)
     : m_messenger(messenger)
     , m_platform(platform)
     , m_store(store)
@@ -58,7 +58,7 @@
         m_messenger.send(member.controlAddress, std::move(request), pingTimeout,
                          [this](const absl::StatusOr<wire::Reply> &reply, steady_time later) {
                              if (reply.ok()) {
-                                 m_coordinator.noteAnswer(fromWire(reply->sender()), later);
+                                 m_coordinator.recordResponse(fromWire(reply->sender()), later);
                              }
                          });
     }
@@ -169,9 +169,9 @@
     request.mutable_ping();
     m_messenger.send(probe.control_address(), std::move(request), pingTimeout,
                      [respond](const absl::StatusOr<wire::Reply> &reply, steady_time) {
-                         wire::Reply answer;
-                         answer.mutable_probe()->set_answered(reply.ok());
-                         respond(answer);
+                         wire::Reply probeReply;
+                         probeReply.mutable_probe()->set_answered(reply.ok());
+                         respond(probeReply);
                      });
 }
 
--- a/src/persimmonrail/daemon/coordinator_driver.h
+++ b/src/persimmonrail/daemon/coordinator_driver.h
@@ -3,7 +3,7 @@
 #include "persimmonrail/balance/coordinator.h"
 #include "persimmonrail/daemon/control_messenger.h"
 #include "persimmonrail/daemon/platform_worker.h"
-#include "persimmonrail/sync/object_store.h"
+#include "persimmonrail/sync/object_replica.h"
 #include "persimmonrail/telemetry/decision_log.h"
 
 #include <map>
@@ -22,7 +22,7 @@
     // The references must outlive the driver. `store` holds the documents to be accepted.
     coordinator_driver(const instance_id &self, const std::string &availabilityZone,
                        control_messenger &messenger, platform_worker &platform,
-                       const object_store &store, decision_log &log);
+                       const object_replica &store, decision_log &log);
     coordinator_driver(const coordinator_driver &) = delete;
     coordinator_driver &operator=(const coordinator_driver &) = delete;
 
@@ -45,7 +45,7 @@
 
     control_messenger &m_messenger;
     platform_worker &m_platform;
-    const object_store &m_store;
+    const object_replica &m_store;
     decision_log &m_log;
     // Writes under way, by key.
     std::set<std::string> m_pendingWrites;
--- a/src/persimmonrail/daemon/daemon_state.cpp
+++ b/src/persimmonrail/daemon/daemon_state.cpp
@@ -44,23 +44,23 @@
 
 daemon::state::state(const daemon_settings &settings)
     : m_settings(settings)
-    , m_self{settings.instance, drawIncarnation()}
+    , m_self{settings.instance, generateIncarnation()}
     , m_started(std::chrono::steady_clock::now())
     , m_log({levelOf(settings.logLevel), settings.logFile})
     , m_api(makeHttpObjectApi(settings.platformAddress, platformTimeout))
-    , m_guard({},
-              {[this](upstream_state state, const upstream_announcement &announcement) {
-                   if (state == upstream_state::Down) {
-                       m_quarantine.noteCrash(std::chrono::steady_clock::now());
-                   }
-                   onUpstreamState(state, announcement);
-               },
-               [this](const upstream_announcement &announcement) {
-                   m_quarantine.noteCrash(std::chrono::steady_clock::now());
-                   // The new run holds no grants and has forgotten its requests.
-                   onUpstreamState(upstream_state::Down, announcement);
-                   onUpstreamState(upstream_state::Up, announcement);
-               }})
+    , m_upstreamClient({},
+                       {[this](upstream_state state, const upstream_announcement &announcement) {
+                            if (state == upstream_state::Down) {
+                                m_quarantine.noteCrash(std::chrono::steady_clock::now());
+                            }
+                            onUpstreamState(state, announcement);
+                        },
+                        [this](const upstream_announcement &announcement) {
+                            m_quarantine.noteCrash(std::chrono::steady_clock::now());
+                            // The new run holds no grants and has forgotten its requests.
+                            onUpstreamState(upstream_state::Down, announcement);
+                            onUpstreamState(upstream_state::Up, announcement);
+                        }})
     , m_instances(settings.availabilityZone, makeRandom)
     , m_retries(m_started)
     , m_atMostOnce({.clockSkew = settings.clockSkewAllowance})
@@ -79,7 +79,7 @@
 
 random_source daemon::state::makeRandom()
 {
-    auto engine = std::make_shared<std::mt19937_64>(drawIncarnation());
+    auto engine = std::make_shared<std::mt19937_64>(generateIncarnation());
     return [engine] { return (*engine)(); };
 }
 
@@ -128,7 +128,7 @@
     }
     m_messenger = *std::move(messenger);
     m_platform.emplace(m_api, m_loop);
-    m_grants.emplace(m_guard, m_loop);
+    m_grants.emplace(m_upstreamClient, m_loop);
     sync_driver::options options{{m_self.name, m_settings.availabilityZone, m_settings.region},
                                  m_settings.seeds,
                                  m_api,
@@ -204,7 +204,7 @@
             m_coordinator->tick(now);
         }
     });
-    m_loop.every(upstreamExpiryTick, [this](steady_time now) { m_guard.expire(now); });
+    m_loop.every(upstreamExpiryTick, [this](steady_time now) { m_upstreamClient.expire(now); });
 }
 
 void daemon::state::handleControl(const wire::Request &request,
@@ -213,7 +213,7 @@
     wire::Reply reply;
     switch (request.body_case()) {
     case wire::Request::kPull:
-        *reply.mutable_pull() = m_sync->answerPull(request.pull(), fromWire(request.sender()));
+        *reply.mutable_pull() = m_sync->respondToPull(request.pull(), fromWire(request.sender()));
         addQuarantine(m_quarantine, now, *reply.mutable_pull());
         break;
     case wire::Request::kPing: {
@@ -297,13 +297,13 @@
     const auto acceptedDeadline = std::chrono::steady_clock::now() + acceptedRequestTime;
     waitUntil(std::min(deadline, acceptedDeadline),
               [this] { return m_callers->server().connectionCount() == 0; });
-    complete &= waitUntil(deadline, [this] { return m_path->inFlight() == 0; });
+    complete &= waitUntil(deadline, [this] { return m_requestRouter->inFlight() == 0; });
     m_loop.post([this](steady_time) { m_announcer->withdraw(); });
     const auto withdrawDeadline = std::chrono::steady_clock::now() + withdrawTime;
     const bool withdrawn = waitUntil(withdrawDeadline, [this] { return m_withdrawn.load(); });
     m_log.write(log_level::Info,
-                absl::StrCat("graceful shutdown ends, requests in flight ", m_path->inFlight(),
-                             ", member record ",
+                absl::StrCat("graceful shutdown ends, requests in flight ",
+                             m_requestRouter->inFlight(), ", member record ",
                              withdrawn ? "deleted" : "left for the coordinator"));
     return complete;
 }
@@ -313,7 +313,7 @@
     if (now.time_since_epoch().count() >= m_noNewWorkAt) {
         return true;
     }
-    const auto upstream = m_guard.status(now);
+    const auto upstream = m_upstreamClient.status(now);
     return upstream.state == upstream_state::Draining && upstream.drainingFor >= newWorkAfterStop;
 }
 
@@ -331,7 +331,7 @@
 std::string daemon::state::describeState()
 {
     const auto view = m_sync->view();
-    const auto upstream = m_guard.status(std::chrono::steady_clock::now());
+    const auto upstream = m_upstreamClient.status(std::chrono::steady_clock::now());
     Poco::JSON::Object state;
     state.set("instance", toString(m_self));
     state.set("ready", m_sync->isReady());
--- a/src/persimmonrail/daemon/daemon_state.h
+++ b/src/persimmonrail/daemon/daemon_state.h
@@ -64,7 +64,8 @@
     at_most_once_verdict beginAtMostOnce(std::string_view service, std::string_view idempotencyKey,
                                          const lease_ticket &ticket, steady_time now);
     void endAtMostOnce(std::string_view service, std::string_view idempotencyKey,
-                       request_outcome outcome, const std::shared_ptr<const kept_answer> &answer);
+                       request_outcome outcome,
+                       const std::shared_ptr<const stored_response> &response);
     admin_hooks makeAdminHooks();
     void addGauges();
     std::string notReadyReason() const;
@@ -81,7 +82,7 @@
     control_loop m_loop;
     serving_table m_serving;
     crash_quarantine m_quarantine;
-    upstream_guard m_guard;
+    upstream_client m_upstreamClient;
     instance_directory m_instances;
     retry_budget m_retries;
     at_most_once_table m_atMostOnce;
@@ -102,7 +103,7 @@
     std::optional<coordinator_driver> m_coordinator;
     std::optional<member_announcer> m_announcer;
     std::optional<ownership_engine> m_engine;
-    std::optional<request_path> m_path;
+    std::optional<request_router> m_requestRouter;
     std::unique_ptr<peer_server> m_peers;
     std::unique_ptr<caller_server> m_callers;
     std::unique_ptr<admin_server> m_admin;
--- a/src/persimmonrail/daemon/daemon_traffic.cpp
+++ b/src/persimmonrail/daemon/daemon_traffic.cpp
@@ -25,21 +25,21 @@
 
 absl::Status daemon::state::startTraffic()
 {
-    request_path_options options;
+    request_router_options options;
     options.instance = m_self.name;
-    m_path.emplace(options, makeGatewayHooks(), m_guard, m_log, m_metrics);
+    m_requestRouter.emplace(options, makeGatewayHooks(), m_upstreamClient, m_log, m_metrics);
 
     http_server_options server;
     server.address = m_settings.peerAddress;
     server.maxConnections = maxPeerConnections;
-    auto peers = peer_server::listen(server, *m_path);
+    auto peers = peer_server::listen(server, *m_requestRouter);
     if (!peers.ok()) {
         return peers.status();
     }
     m_peers = *std::move(peers);
     server.address = m_settings.callerAddress;
     server.maxConnections = m_settings.maxCallerConnections;
-    auto callers = caller_server::listen(server, *m_path);
+    auto callers = caller_server::listen(server, *m_requestRouter);
     if (!callers.ok()) {
         return callers.status();
     }
@@ -86,7 +86,7 @@
         if (isRetry) {
             return m_retries.tryRetry(now);
         }
-        m_retries.noteFirstAttempt(now);
+        m_retries.recordFirstAttempt(now);
         return true;
     };
     hooks.admit = [this](const admission_request &request, steady_time now) {
@@ -98,8 +98,8 @@
     };
     hooks.atMostOnceEnd = [this](std::string_view service, std::string_view idempotencyKey,
                                  request_outcome outcome,
-                                 const std::shared_ptr<const kept_answer> &answer) {
-        endAtMostOnce(service, idempotencyKey, outcome, answer);
+                                 const std::shared_ptr<const stored_response> &response) {
+        endAtMostOnce(service, idempotencyKey, outcome, response);
     };
     hooks.quarantine = &m_quarantine;
     hooks.refusesNewWork = [this](steady_time now) { return refusesNewWork(now); };
@@ -108,7 +108,7 @@
 
 admission_source daemon::state::readAdmissionSource() const
 {
-    const upstream_status status = m_guard.status(std::chrono::steady_clock::now());
+    const upstream_status status = m_upstreamClient.status(std::chrono::steady_clock::now());
     admission_source source;
     if (status.announcement) {
         source.slots = status.announcement->slots;
@@ -141,10 +141,10 @@
 
 void daemon::state::endAtMostOnce(std::string_view service, std::string_view idempotencyKey,
                                   request_outcome outcome,
-                                  const std::shared_ptr<const kept_answer> &answer)
+                                  const std::shared_ptr<const stored_response> &response)
 {
     if (const auto key = parseIdempotencyKey(idempotencyKey); key.ok()) {
-        m_atMostOnce.end(service, *key, outcome, answer);
+        m_atMostOnce.end(service, *key, outcome, response);
     }
 }
 
@@ -156,12 +156,12 @@
         if (announcement.service != m_settings.service) {
             return absl::FailedPreconditionError("the daemon is set up for another service");
         }
-        return m_guard.announce(announcement, std::chrono::steady_clock::now());
+        return m_upstreamClient.announce(announcement, std::chrono::steady_clock::now());
     };
     hooks.metricsText = [this] { return m_metrics.renderText(); };
     hooks.notReadyReason = [this] { return notReadyReason(); };
     hooks.explain = [this](const std::string &service, const std::string &key) {
-        return m_path->explain(service, key, std::chrono::steady_clock::now());
+        return m_requestRouter->explain(service, key, std::chrono::steady_clock::now());
     };
     hooks.state = [this] { return describeState(); };
     return hooks;
--- a/src/persimmonrail/daemon/grant_pusher.cpp
+++ b/src/persimmonrail/daemon/grant_pusher.cpp
@@ -11,14 +11,14 @@
 
 } // namespace
 
-grant_pusher::grant_pusher(upstream_guard &guard, control_loop &loop)
-    : m_guard(guard)
+grant_pusher::grant_pusher(upstream_client &upstreamClient, control_loop &loop)
+    : m_upstreamClient(upstreamClient)
     , m_loop(loop)
 { }
 
 void grant_pusher::apply(std::vector<lease_grant> grants, ownership_hooks::grant_completion done)
 {
-    const auto status = m_guard.status(std::chrono::steady_clock::now());
+    const auto status = m_upstreamClient.status(std::chrono::steady_clock::now());
     if (status.announcement && !status.announcement->checksGrants) {
         m_loop.post([done](steady_time now) { done(absl::OkStatus(), now); });
         return;
@@ -44,7 +44,8 @@
     }
     absl::Status result;
     for (const auto &[validity, group] : byValidity) {
-        result.Update(m_guard.pushGrants(group, validity, std::chrono::steady_clock::now()));
+        result.Update(
+            m_upstreamClient.pushGrants(group, validity, std::chrono::steady_clock::now()));
     }
     return result;
 }
--- a/src/persimmonrail/daemon/grant_pusher.h
+++ b/src/persimmonrail/daemon/grant_pusher.h
@@ -3,7 +3,7 @@
 #include "persimmonrail/daemon/background_worker.h"
 #include "persimmonrail/daemon/control_loop.h"
 #include "persimmonrail/ownership/ownership_engine.h"
-#include "persimmonrail/upstream/upstream_guard.h"
+#include "persimmonrail/upstream/upstream_client.h"
 
 #include <vector>
 
@@ -14,16 +14,16 @@
 {
 public:
     // The references must outlive the pusher.
-    grant_pusher(upstream_guard &guard, control_loop &loop);
+    grant_pusher(upstream_client &upstreamClient, control_loop &loop);
 
     // Called on the control thread, as is the completion. Errors: those of
-    // upstream_guard::pushGrants; ResourceExhausted if earlier grants are still being passed.
+    // upstream_client::pushGrants; ResourceExhausted if earlier grants are still being passed.
     void apply(std::vector<lease_grant> grants, ownership_hooks::grant_completion done);
 
 private:
     absl::Status push(const std::vector<lease_grant> &grants);
 
-    upstream_guard &m_guard;
+    upstream_client &m_upstreamClient;
     control_loop &m_loop;
     // Declared last: its thread uses the members above until it has ended.
     background_worker m_worker;
--- a/src/persimmonrail/daemon/instance_directory.cpp
+++ b/src/persimmonrail/daemon/instance_directory.cpp
@@ -53,7 +53,7 @@
     if (picker == nullptr) {
         return;
     }
-    auto result = instance_picker::result::Answered;
+    auto result = instance_picker::result::Responded;
     if (outcome == request_outcome::Unknown || reason == refusedConnectionReason) {
         result = instance_picker::result::Failed;
     } else if (outcome == request_outcome::NotRun) {
--- a/src/persimmonrail/daemon/sync_driver.cpp
+++ b/src/persimmonrail/daemon/sync_driver.cpp
@@ -69,7 +69,7 @@
                     absl::StrCat("platform watch failed: ", std::string(status.message()),
                                  "; next attempt in ", delay.count(), " ms"));
     };
-    hooks.random = [seed = drawIncarnation()]() mutable {
+    hooks.random = [seed = generateIncarnation()]() mutable {
         // SplitMix64; the watch needs it for jitter only.
         seed += 0x9e3779b97f4a7c15ULL;
         uint64_t value = seed;
@@ -129,7 +129,7 @@
                          [this, name = member.id.name](const absl::StatusOr<wire::Reply> &reply,
                                                        steady_time later) {
                              if (reply.ok()) {
-                                 m_election.noteAnswer(name, later);
+                                 m_election.recordResponse(name, later);
                              }
                          });
     }
@@ -147,9 +147,9 @@
     m_store.expireTombstones(now);
 }
 
-wire::PullReply sync_driver::answerPull(const wire::Pull &pull, const instance_id &asking)
+wire::PullReply sync_driver::respondToPull(const wire::Pull &pull, const instance_id &asking)
 {
-    return m_store.answerPull(pull, asking);
+    return m_store.respondToPull(pull, asking);
 }
 
 std::shared_ptr<const fleet_view> sync_driver::view() const
--- a/src/persimmonrail/daemon/sync_driver.h
+++ b/src/persimmonrail/daemon/sync_driver.h
@@ -2,7 +2,7 @@
 
 #include "persimmonrail/daemon/control_messenger.h"
 #include "persimmonrail/objects/object_api.h"
-#include "persimmonrail/sync/object_store.h"
+#include "persimmonrail/sync/object_replica.h"
 #include "persimmonrail/sync/pull_schedule.h"
 #include "persimmonrail/sync/readiness.h"
 #include "persimmonrail/sync/relay_election.h"
@@ -48,9 +48,9 @@
     // Pings election candidates and takes up or gives up the relay role; to be called each
     // electionPingInterval.
     void runElection(steady_time now);
-    wire::PullReply answerPull(const wire::Pull &pull, const instance_id &asking);
+    wire::PullReply respondToPull(const wire::Pull &pull, const instance_id &asking);
 
-    const object_store &store() const { return m_store; }
+    const object_replica &store() const { return m_store; }
     std::shared_ptr<const fleet_view> view() const;
     bool isReady() const { return m_ready; }
     bool isRelay() const { return m_watch.isActive(); }
@@ -70,7 +70,7 @@
     decision_log &m_log;
     view_listener m_onView;
     std::function<void(const wire::PullReply &reply, steady_time now)> m_takePullReply;
-    object_store m_store;
+    object_replica m_store;
     pull_schedule m_schedule;
     readiness m_readiness;
     relay_election m_election;
--- a/src/persimmonrail/daemon/tests/connection_limit_test.cpp
+++ b/src/persimmonrail/daemon/tests/connection_limit_test.cpp
@@ -15,14 +15,14 @@
     const std::string &address = fleet.running->callerAddress();
     const std::string request = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
     std::vector<Poco::Net::StreamSocket> held;
-    const auto isAnswered = [&](Poco::Net::StreamSocket &socket) {
+    const auto hasResponse = [&](Poco::Net::StreamSocket &socket) {
         sendText(socket, request);
         return readHeadText(socket).starts_with("HTTP/1.1 404");
     };
     // The connection of the request before may still count for a moment.
     waitFor([&] {
         Poco::Net::StreamSocket next{Poco::Net::SocketAddress(address)};
-        if (isAnswered(next)) {
+        if (hasResponse(next)) {
             held.push_back(next);
         }
         return held.size() == limit;
@@ -40,11 +40,11 @@
         // The body of the earlier answer is still to be read.
         std::string rest(4096, '\0');
         socket.receiveBytes(rest.data(), static_cast<int>(rest.size()));
-        CHECK(isAnswered(socket));
+        CHECK(hasResponse(socket));
     }
     held.pop_back();
     waitFor([&] {
         Poco::Net::StreamSocket next{Poco::Net::SocketAddress(address)};
-        return isAnswered(next);
+        return hasResponse(next);
     });
 }
--- a/src/persimmonrail/daemon/tests/graceful_shutdown_test.cpp
+++ b/src/persimmonrail/daemon/tests/graceful_shutdown_test.cpp
@@ -24,16 +24,16 @@
     });
     const auto begun = std::chrono::steady_clock::now();
     auto stopped = std::async(std::launch::async, [&] { return fleet.running->stop(); });
-    simple_answer answer;
+    simple_response response;
     waitFor([&] {
         fleet.announce("first");
-        answer = fleet.forward("GET", "/photos/records/k");
-        return answer.status != 200;
+        response = fleet.forward("GET", "/photos/records/k");
+        return response.status != 200;
     });
     CHECK(std::chrono::steady_clock::now() - begun >= seconds(3));
-    CHECK(answer.status == 503);
-    CHECK(answer.body.find("not-run") != std::string::npos);
-    CHECK(answer.body.find("draining") != std::string::npos);
+    CHECK(response.status == 503);
+    CHECK(response.body.find("not-run") != std::string::npos);
+    CHECK(response.body.find("draining") != std::string::npos);
     sendText(slow, "s");
     CHECK(readToEnd(slow).starts_with("HTTP/1.1 200"));
     CHECK(stopped.get());
--- a/src/persimmonrail/daemon/tests/input_test.cpp
+++ b/src/persimmonrail/daemon/tests/input_test.cpp
@@ -105,8 +105,8 @@
         for (uint64_t seed = 1; seed <= inputsPerPort; ++seed) {
             CAPTURE(seed, messages->front());
             input_mutator mutator(seed);
-            const std::string answer = exchangeInput(address, mutator.next(*messages));
-            CHECK((answer.empty() || answer.starts_with("HTTP/1.1 ")));
+            const std::string response = exchangeInput(address, mutator.next(*messages));
+            CHECK((response.empty() || response.starts_with("HTTP/1.1 ")));
         }
         const std::string large(40'000, 'x');
         const auto put = [&](const char *contentLength) {
@@ -126,18 +126,18 @@
         };
         for (const auto &row : table) {
             CAPTURE(address, row.bytes.substr(0, 100));
-            const std::string answer = exchangeBytes(address, row.bytes);
-            CHECK(answer.substr(0, 12) == std::string("HTTP/1.1 ") + row.status);
+            const std::string response = exchangeBytes(address, row.bytes);
+            CHECK(response.substr(0, 12) == std::string("HTTP/1.1 ") + row.status);
         }
         checkServes(fleet);
     }
     // An announcement that a mutation left valid must not keep the right one out.
     const std::string oversized(2'000'000, ' ');
-    const std::string answer =
+    const std::string response =
         exchangeBytes(fleet.running->adminAddress(),
                       "POST /v1/announce" + tail + length + std::to_string(oversized.size())
                           + "\r\n\r\n" + oversized);
-    CHECK((answer.empty() || answer.starts_with("HTTP/1.1 4")));
+    CHECK((response.empty() || response.starts_with("HTTP/1.1 4")));
     checkServes(fleet);
 }
 
@@ -192,11 +192,10 @@
     REQUIRE(client.ok());
     wire::Request ping;
     ping.mutable_ping();
-    std::promise<bool> answered;
-    (*client)->send(address, ping, milliseconds(60'000), [&](const auto &reply) {
-        answered.set_value(reply.ok() && reply->has_ping());
-    });
-    CHECK(answered.get_future().get());
+    std::promise<bool> replied;
+    (*client)->send(address, ping, milliseconds(60'000),
+                    [&](const auto &reply) { replied.set_value(reply.ok() && reply->has_ping()); });
+    CHECK(replied.get_future().get());
     checkServes(fleet);
 }
 
--- a/src/persimmonrail/daemon/tests/single_daemon.cpp
+++ b/src/persimmonrail/daemon/tests/single_daemon.cpp
@@ -23,9 +23,9 @@
                   "timeout_ms": 60000, "repeatable": true}]
 })";
 
-simple_answer send(const std::string &address, const std::string &method, const std::string &uri,
-                   const std::string &body,
-                   const std::vector<std::pair<std::string, std::string>> &fields)
+simple_response send(const std::string &address, const std::string &method, const std::string &uri,
+                     const std::string &body,
+                     const std::vector<std::pair<std::string, std::string>> &fields)
 {
     Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(address)};
     session.setTimeout(Poco::Timespan(60, 0));
@@ -36,10 +36,10 @@
     request.setContentLength(static_cast<std::streamsize>(body.size()));
     session.sendRequest(request) << body << std::flush;
     Poco::Net::HTTPResponse head;
-    simple_answer answer;
-    Poco::StreamCopier::copyToString(session.receiveResponse(head), answer.body);
-    answer.status = head.getStatus();
-    return answer;
+    simple_response response;
+    Poco::StreamCopier::copyToString(session.receiveResponse(head), response.body);
+    response.status = head.getStatus();
+    return response;
 }
 
 } // namespace
@@ -91,32 +91,32 @@
     REQUIRE(admin("POST", "/v1/announce", encodeAnnouncement(announcement)).status / 100 == 2);
 }
 
-simple_answer single_daemon::call(const std::string &method, const std::string &uri,
-                                  const std::string &body, const std::string &bootId,
-                                  const std::vector<std::pair<std::string, std::string>> &fields)
+simple_response single_daemon::call(const std::string &method, const std::string &uri,
+                                    const std::string &body, const std::string &bootId,
+                                    const std::vector<std::pair<std::string, std::string>> &fields)
 {
-    simple_answer answer;
+    simple_response response;
     waitFor([&] {
         announce(bootId);
-        answer = send(running->callerAddress(), method, uri, body, fields);
+        response = send(running->callerAddress(), method, uri, body, fields);
         for (const char *reason : {"unknown-service", "no-instance", "upstream-down"}) {
-            if (answer.body.find(reason) != std::string::npos) {
+            if (response.body.find(reason) != std::string::npos) {
                 return false;
             }
         }
         return true;
     });
-    return answer;
+    return response;
 }
 
-simple_answer single_daemon::forward(const std::string &method, const std::string &uri)
+simple_response single_daemon::forward(const std::string &method, const std::string &uri)
 {
     return send(running->peerAddress(), method, uri, "",
                 {{requestIdHeader, "forwarded"}, {deadlineHeader, "30000"}});
 }
 
-simple_answer single_daemon::admin(const std::string &method, const std::string &uri,
-                                   const std::string &body)
+simple_response single_daemon::admin(const std::string &method, const std::string &uri,
+                                     const std::string &body)
 {
     return send(running->adminAddress(), method, uri, body, {});
 }
--- a/src/persimmonrail/daemon/tests/single_daemon.h
+++ b/src/persimmonrail/daemon/tests/single_daemon.h
@@ -22,13 +22,13 @@
     void announce(const std::string &bootId, bool draining = false);
     // Sends a request and announces the upstream before, since an announcement is valid for 3 s.
     // Repeats it until its reason is none of those of a daemon that is not set up yet.
-    simple_answer call(const std::string &method, const std::string &uri, const std::string &body,
-                       const std::string &bootId,
-                       const std::vector<std::pair<std::string, std::string>> &fields = {});
+    simple_response call(const std::string &method, const std::string &uri, const std::string &body,
+                         const std::string &bootId,
+                         const std::vector<std::pair<std::string, std::string>> &fields = {});
     // Sends a request as another daemon does.
-    simple_answer forward(const std::string &method, const std::string &uri);
-    simple_answer admin(const std::string &method, const std::string &uri,
-                        const std::string &body = {});
+    simple_response forward(const std::string &method, const std::string &uri);
+    simple_response admin(const std::string &method, const std::string &uri,
+                          const std::string &body = {});
 
     standins::platform_standin platform;
     std::unique_ptr<upstream_standin> upstream;
--- a/src/persimmonrail/feed/relayed_watch.cpp
+++ b/src/persimmonrail/feed/relayed_watch.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr size_t membersPerRelay = 64;
-constexpr milliseconds longestRelayWait{10000};
+constexpr milliseconds maxRelayWait{10000};
 constexpr milliseconds connectTime{400};
 constexpr milliseconds idleTime{5000};
 
@@ -48,7 +48,7 @@
     } catch (const Poco::Exception &error) {
         return absl::InvalidArgumentError(error.displayText());
     }
-    const auto wait = std::min<uint64_t>(numbers["wait_ms"], longestRelayWait.count());
+    const auto wait = std::min<uint64_t>(numbers["wait_ms"], maxRelayWait.count());
     return changes_query{{numbers["feed"], numbers["position"]},
                          numbers["revision"],
                          milliseconds(static_cast<int64_t>(wait))};
@@ -110,15 +110,15 @@
     {
         const feed_cursor cursor = address == m_source ? m_cursor : feed_cursor();
         const std::string uri = encodeQuery({cursor, revision, m_options.relayWait});
-        const auto answer =
+        const auto response =
             simpleRequest(m_client, address, "GET", uri, "",
-                          m_hooks.now() + m_options.relayWait + m_options.answerSlack);
-        if (!answer.ok()) {
-            return absl::UnavailableError(answer.status().message());
+                          m_hooks.now() + m_options.relayWait + m_options.responseSlack);
+        if (!response.ok()) {
+            return absl::UnavailableError(response.status().message());
         }
-        return answer->status == 200
-            ? parseChanges(answer->body)
-            : absl::UnavailableError(absl::StrCat("relay answered ", answer->status));
+        return response->status == 200
+            ? parseChanges(response->body)
+            : absl::UnavailableError(absl::StrCat("relay answered ", response->status));
     }
 
     void follow(const std::string &source, const feed_cursor &cursor, const absl::Status &reason)
@@ -134,14 +134,13 @@
                                            milliseconds wait)
     {
         const auto sinceChange = m_hooks.now() - m_changedAt;
-        if (sinceChange < m_options.leastGap) {
-            m_hooks.pause(
-                std::chrono::duration_cast<milliseconds>(m_options.leastGap - sinceChange));
+        if (sinceChange < m_options.minGap) {
+            m_hooks.pause(std::chrono::duration_cast<milliseconds>(m_options.minGap - sinceChange));
         }
         auto changes = m_direct.watch(prefix, revision, std::min(wait, m_options.directWait));
         const steady_time now = m_hooks.now();
         if (changes.ok()) {
-            m_hooks.onDirectAnswer(now);
+            m_hooks.onDirectResponse(now);
             if (!changes->objects.empty()) {
                 m_changedAt = now;
             }
@@ -167,12 +166,13 @@
     std::vector<const upstream_member *> candidates;
     for (const auto &[name, known] : directory.members()) {
         const upstream_member &member = known.member;
-        if (member.availabilityZone == availabilityZone && !member.isGone && !member.isLeaving) {
+        if (member.availabilityZone == availabilityZone && !member.isTerminated
+            && !member.isDraining) {
             candidates.push_back(&member);
         }
     }
     std::sort(candidates.begin(), candidates.end(),
-              [](const auto *a, const auto *b) { return worksBefore(*a, *b); });
+              [](const auto *a, const auto *b) { return hasMoreCapacity(*a, *b); });
     candidates.resize((candidates.size() + membersPerRelay - 1) / membersPerRelay);
     std::vector<std::string> members;
     members.reserve(candidates.size());
--- a/src/persimmonrail/feed/relayed_watch.h
+++ b/src/persimmonrail/feed/relayed_watch.h
@@ -20,14 +20,14 @@
     // of the relay; the end of a wait shows that the relay is still there.
     milliseconds relayWait{2000};
     // What an answer may take besides; connections between hosts may go silent.
-    milliseconds answerSlack{800};
+    milliseconds responseSlack{800};
     // A relay that failed is not asked again for this long.
     milliseconds failurePause{5000};
     // Longest wait of a watch of the store itself, so that a relay learns soon that it is cut off.
     milliseconds directWait{5000};
     // Between two watches of the store that were answered with changes, which are gathered
     // meanwhile.
-    milliseconds leastGap{150};
+    milliseconds minGap{150};
 };
 
 struct relayed_watch_hooks
@@ -36,7 +36,7 @@
     // daemon follows the store itself.
     std::function<std::vector<std::string>()> relays;
     // A watch of the store itself was answered.
-    std::function<void(steady_time now)> onDirectAnswer;
+    std::function<void(steady_time now)> onDirectResponse;
     // Called when another source is followed: a peer port, or "store".
     std::function<void(std::string_view source, const absl::Status &reason)> onSource;
     std::function<steady_time()> now;
--- a/src/persimmonrail/feed/tests/relayed_watch_test.cpp
+++ b/src/persimmonrail/feed/tests/relayed_watch_test.cpp
@@ -25,7 +25,7 @@
     std::vector<std::string> sources;
     std::vector<milliseconds> storeWaits;
     std::vector<milliseconds> pauses;
-    absl::StatusOr<object_list> storeAnswer = object_list{30, {}};
+    absl::StatusOr<object_list> storeResult = object_list{30, {}};
     int confirmations = 0;
     milliseconds passed{0};
     object_api follower;
@@ -33,7 +33,7 @@
     relay_site()
     {
         relay = std::move(*http_server::listen({}, [this](server_exchange &exchange) {
-            exchange.answer(
+            exchange.respond(
                 200,
                 serveChanges(feed, exchange.request().getURI(), std::chrono::steady_clock::now()),
                 "application/json");
@@ -44,11 +44,11 @@
         object_api store;
         store.watch = [this](const std::string &, uint64_t, milliseconds wait) {
             storeWaits.push_back(wait);
-            return storeAnswer;
+            return storeResult;
         };
         relayed_watch_hooks hooks;
         hooks.relays = [this] { return relays; };
-        hooks.onDirectAnswer = [this](steady_time) { ++confirmations; };
+        hooks.onDirectResponse = [this](steady_time) { ++confirmations; };
         hooks.onSource = [this](std::string_view source, const absl::Status &) {
             sources.emplace_back(source);
         };
@@ -63,9 +63,9 @@
 };
 
 upstream_member member(const std::string &name, const std::string &zone, int port,
-                       bool isLeaving = false)
+                       bool isDraining = false)
 {
-    return {{name, 1}, "ledger", zone, "127.0.0.1:" + std::to_string(port), 9, isLeaving, false};
+    return {{name, 1}, "ledger", zone, "127.0.0.1:" + std::to_string(port), 9, isDraining, false};
 }
 
 std::shared_ptr<const fleet_directory> directoryOf(const std::vector<upstream_member> &members)
@@ -123,7 +123,7 @@
 {
     relay_site site;
     site.relays.clear();
-    site.storeAnswer = object_list{31, {object("keys", 31)}};
+    site.storeResult = object_list{31, {object("keys", 31)}};
     CHECK(site.watch().ok());
     CHECK(site.pauses.empty());
     CHECK(site.watch().ok());
@@ -138,7 +138,7 @@
 {
     relay_site site;
     site.relays.clear();
-    site.storeAnswer = absl::OutOfRangeError("gone");
+    site.storeResult = absl::OutOfRangeError("gone");
     CHECK(absl::IsOutOfRange(site.watch().status()));
     CHECK(site.confirmations == 0);
 }
@@ -148,9 +148,9 @@
     change_feed feed(7);
     const std::string query = GENERATE("?feed=x", "?feed=1&position=-1", "?revision=1e9",
                                        "?wait_ms=99999999999999999999999", "?%zz");
-    const std::string answer =
+    const std::string response =
         serveChanges(feed, changesPath + query, std::chrono::steady_clock::now());
-    CHECK(answer.find("\"code\":3") != std::string::npos);
+    CHECK(response.find("\"code\":3") != std::string::npos);
 }
 
 // Load pattern: a change of a large placement goes to 25 followers at once, several times a second.
@@ -167,7 +167,7 @@
     const auto directory = directoryOf({weak, strong, narrow, unknown});
     CHECK(relaysFor(*directory, "nord", "127.0.0.1:1") == std::vector<std::string>{"127.0.0.1:2"});
     CHECK(relaysFor(*directory, "nord", "127.0.0.1:2").empty());
-    strong.isLeaving = true;
+    strong.isDraining = true;
     const auto later = directoryOf({weak, strong, narrow, unknown});
     CHECK(relaysFor(*later, "nord", "127.0.0.1:1") == std::vector<std::string>{"127.0.0.1:3"});
 }
--- a/src/persimmonrail/fleet/fleet_directory.cpp
+++ b/src/persimmonrail/fleet/fleet_directory.cpp
@@ -24,34 +24,37 @@
 {
     std::vector<const upstream_member *> members;
     for (const auto &[name, known] : m_members) {
-        if (known.member.service == service && !known.member.isGone) {
+        if (known.member.service == service && !known.member.isTerminated) {
             members.push_back(&known.member);
         }
     }
     return members;
 }
 
-const fleet_directory::known_member *fleet_directory::findMember(std::string_view upstream) const
+const fleet_directory::versioned_member *
+fleet_directory::findMember(std::string_view upstream) const
 {
     const auto found = m_members.find(upstream);
     return found == m_members.end() ? nullptr : &found->second;
 }
 
-const fleet_directory::placed *fleet_directory::findPlacement(std::string_view service) const
+const fleet_directory::versioned_placement *
+fleet_directory::findPlacement(std::string_view service) const
 {
     const auto found = m_placements.find(service);
     return found == m_placements.end() ? nullptr : &found->second;
 }
 
-std::vector<upstream_member> earlierLives(const fleet_directory &directory,
-                                          std::string_view peerAddress, const upstream_id &present)
+std::vector<upstream_member> earlierIncarnations(const fleet_directory &directory,
+                                                 std::string_view peerAddress,
+                                                 const upstream_id &present)
 {
     std::vector<upstream_member> earlier;
     for (const auto &[name, known] : directory.members()) {
         if (known.member.peerAddress == peerAddress && name != present.name
-            && !known.member.isGone) {
+            && !known.member.isTerminated) {
             earlier.push_back(known.member);
-            earlier.back().isLeaving = earlier.back().isGone = true;
+            earlier.back().isDraining = earlier.back().isTerminated = true;
         }
     }
     return earlier;
--- a/src/persimmonrail/fleet/fleet_directory.h
+++ b/src/persimmonrail/fleet/fleet_directory.h
@@ -22,12 +22,12 @@
 class fleet_directory
 {
 public:
-    struct placed
+    struct versioned_placement
     {
         key_placement placement;
         uint64_t version = 0;
     };
-    struct known_member
+    struct versioned_member
     {
         upstream_member member;
         uint64_t version = 0;
@@ -36,21 +36,25 @@
     uint64_t revision() const { return m_revision; }
     // All members of a service that are not gone.
     std::vector<const upstream_member *> membersOf(std::string_view service) const;
-    const known_member *findMember(std::string_view upstream) const;
-    const placed *findPlacement(std::string_view service) const;
-    const std::map<std::string, known_member, std::less<>> &members() const { return m_members; }
+    const versioned_member *findMember(std::string_view upstream) const;
+    const versioned_placement *findPlacement(std::string_view service) const;
+    const std::map<std::string, versioned_member, std::less<>> &members() const
+    {
+        return m_members;
+    }
 
 private:
     friend class fleet_directory_builder;
     uint64_t m_revision = 0;
-    std::map<std::string, known_member, std::less<>> m_members;
-    std::map<std::string, placed, std::less<>> m_placements;
+    std::map<std::string, versioned_member, std::less<>> m_members;
+    std::map<std::string, versioned_placement, std::less<>> m_placements;
 };
 
 // Returns the members behind a peer port that are not `present` and not known to be gone, as gone:
 // a host has one upstream, so they have ended.
-std::vector<upstream_member> earlierLives(const fleet_directory &directory,
-                                          std::string_view peerAddress, const upstream_id &present);
+std::vector<upstream_member> earlierIncarnations(const fleet_directory &directory,
+                                                 std::string_view peerAddress,
+                                                 const upstream_id &present);
 
 // Builds directories from objects of the store. Objects that can't be read are reported and name
 // nothing. Not thread safe.
--- a/src/persimmonrail/fleet/local_upstream.cpp
+++ b/src/persimmonrail/fleet/local_upstream.cpp
@@ -23,14 +23,14 @@
     : m_options(options)
 { }
 
-bool local_upstream::isOfEarlierLife(const upstream_report &report) const
+bool local_upstream::isOfEarlierIncarnation(const upstream_report &report) const
 {
     return m_report && report.id.startedAt < m_report->id.startedAt;
 }
 
 local_upstream::verdict local_upstream::onReport(const upstream_report &report, steady_time now)
 {
-    if (isOfEarlierLife(report)) {
+    if (isOfEarlierIncarnation(report)) {
         return verdict::Stale;
     }
     const bool isSameLife = m_report && report.id == m_report->id;
@@ -74,9 +74,9 @@
     return verdict::Changed;
 }
 
-void local_upstream::onAnswer(steady_time now)
+void local_upstream::onResponse(steady_time now)
 {
-    m_answeredAt = std::max(m_answeredAt, now);
+    m_respondedAt = std::max(m_respondedAt, now);
     if (m_phase == upstream_phase::Silent) {
         m_phase = upstream_phase::Ready;
     }
@@ -86,7 +86,7 @@
 {
     const auto limit = m_options.reportInterval * m_options.missedReports;
     if (m_phase != upstream_phase::Ready || now - m_reportedAt < limit
-        || now - m_answeredAt < limit) {
+        || now - m_respondedAt < limit) {
         return false;
     }
     m_phase = upstream_phase::Silent;
--- a/src/persimmonrail/fleet/local_upstream.h
+++ b/src/persimmonrail/fleet/local_upstream.h
@@ -45,24 +45,24 @@
     // A connection to its address was refused: the process is gone.
     verdict onRefusedConnection(steady_time now);
     // Requests succeed although reports are overdue.
-    void onAnswer(steady_time now);
+    void onResponse(steady_time now);
     // Notes overdue reports; returns whether the phase changed.
     bool expire(steady_time now);
 
     upstream_phase phase() const { return m_phase; }
-    bool takesWork() const { return m_phase == upstream_phase::Ready; }
+    bool acceptsRequests() const { return m_phase == upstream_phase::Ready; }
     // The newest report; empty before the first one.
     const std::optional<upstream_report> &report() const { return m_report; }
     steady_time lastReportAt() const { return m_reportedAt; }
 
 private:
-    bool isOfEarlierLife(const upstream_report &report) const;
+    bool isOfEarlierIncarnation(const upstream_report &report) const;
 
     const local_upstream_options m_options;
     upstream_phase m_phase = upstream_phase::Absent;
     std::optional<upstream_report> m_report;
     steady_time m_reportedAt{};
-    steady_time m_answeredAt{};
+    steady_time m_respondedAt{};
 };
 
 std::string_view toString(upstream_phase phase);
--- a/src/persimmonrail/fleet/tests/fleet_test.cpp
+++ b/src/persimmonrail/fleet/tests/fleet_test.cpp
@@ -39,7 +39,7 @@
     CHECK(upstream.onReport(report("a", 10, 2), start) == verdict::Stale);
     CHECK(upstream.onReport(report("a", 10, 1, true), start) == verdict::Stale);
     CHECK(upstream.onReport(report("old", 9, 50), start) == verdict::Stale);
-    CHECK(upstream.takesWork());
+    CHECK(upstream.acceptsRequests());
     SECTION("a restart under the same name counts from the beginning")
     {
         CHECK(upstream.onReport(report("a", 20, 1), start) == verdict::Changed);
@@ -57,7 +57,7 @@
         CHECK(upstream.onDeparture({"b", 0}, start) == verdict::Stale);
         CHECK(upstream.onDeparture({"a", 9}, start) == verdict::Stale);
         CHECK(upstream.onDeparture({"a", 0}, start) == verdict::Changed);
-        CHECK_FALSE(upstream.takesWork());
+        CHECK_FALSE(upstream.acceptsRequests());
     }
     SECTION("a refused connection ends the life")
     {
@@ -65,7 +65,7 @@
         CHECK(upstream.onReport(report("a", 10, 3), start) == verdict::Unchanged);
         CHECK(upstream.phase() == upstream_phase::Absent);
         CHECK(upstream.onReport(report("b", 11, 1), start) == verdict::Changed);
-        CHECK(upstream.takesWork());
+        CHECK(upstream.acceptsRequests());
     }
 }
 
@@ -76,12 +76,12 @@
     local_upstream upstream({1000ms, 3});
     upstream.onReport(report("a", 10, 1), start);
     CHECK_FALSE(upstream.expire(start + 2900ms));
-    upstream.onAnswer(start + 2s);
+    upstream.onResponse(start + 2s);
     CHECK_FALSE(upstream.expire(start + 4900ms));
     CHECK(upstream.expire(start + 5s));
-    CHECK_FALSE(upstream.takesWork());
+    CHECK_FALSE(upstream.acceptsRequests());
     CHECK(upstream.onReport(report("a", 10, 2), start + 6s) == verdict::Changed);
-    CHECK(upstream.takesWork());
+    CHECK(upstream.acceptsRequests());
 }
 
 TEST_CASE("members keep their values in the store", "[fleet]")
@@ -120,10 +120,10 @@
 {
     fleet_directory_builder builder([](const std::string &, std::string_view) {});
     upstream_member newer = member("i-1");
-    newer.isLeaving = true;
+    newer.isDraining = true;
     builder.applyOne({memberKey("i-1"), 9, false, encodeMember(newer)});
     builder.applyOne({memberKey("i-1"), 8, false, encodeMember(member("i-1"))});
-    CHECK(builder.build()->findMember("i-1")->member.isLeaving);
+    CHECK(builder.build()->findMember("i-1")->member.isDraining);
     builder.applyOne({memberKey("i-1"), 7, true, ""});
     CHECK(builder.build()->findMember("i-1") != nullptr);
     builder.applyOne({memberKey("i-1"), 10, true, ""});
@@ -138,14 +138,14 @@
 {
     fleet_directory_builder builder([](const std::string &, std::string_view) {});
     upstream_member leaving = member("a");
-    leaving.isLeaving = true;
+    leaving.isDraining = true;
     builder.applyOne({memberKey("a"), 12, false, encodeMember(leaving)});
     builder.applyOne({memberKey("b"), 13, false, encodeMember(member("b"))});
     builder.applyOne({memberKey("c"), 3, false, encodeMember(member("c"))});
     builder.reset({10, {{memberKey("a"), 8, false, encodeMember(member("a"))}}});
     const auto directory = builder.build();
     REQUIRE(directory->findMember("a") != nullptr);
-    CHECK(directory->findMember("a")->member.isLeaving);
+    CHECK(directory->findMember("a")->member.isDraining);
     CHECK(directory->findMember("b") != nullptr);
     // It was removed before the list was read.
     CHECK(directory->findMember("c") == nullptr);
@@ -157,12 +157,12 @@
     upstream_member elsewhere = member("i-3");
     elsewhere.peerAddress = "127.0.0.2:9000";
     upstream_member ended = member("i-4");
-    ended.isGone = true;
+    ended.isTerminated = true;
     for (const upstream_member &known : {member("i-1"), member("i-2"), elsewhere, ended}) {
         builder.applyOne({memberKey(known.id.name), 1, false, encodeMember(known)});
     }
-    const auto earlier = earlierLives(*builder.build(), "127.0.0.1:9000", {"i-2", 9});
+    const auto earlier = earlierIncarnations(*builder.build(), "127.0.0.1:9000", {"i-2", 9});
     REQUIRE(earlier.size() == 1);
     CHECK(earlier[0].id.name == "i-1");
-    CHECK(earlier[0].isGone);
+    CHECK(earlier[0].isTerminated);
 }
--- a/src/persimmonrail/fleet/upstream_member.cpp
+++ b/src/persimmonrail/fleet/upstream_member.cpp
@@ -12,7 +12,7 @@
     return id.isEmpty() ? std::string() : absl::StrCat(id.name, "/", id.startedAt);
 }
 
-bool worksBefore(const upstream_member &a, const upstream_member &b)
+bool hasMoreCapacity(const upstream_member &a, const upstream_member &b)
 {
     return std::tie(b.host, a.id) < std::tie(a.host, b.id);
 }
@@ -28,8 +28,8 @@
     object.set("slots", member.slots);
     object.set("processors", member.host.processors);
     object.set("link_mbps", member.host.linkMbps);
-    object.set("leaving", member.isLeaving);
-    object.set("gone", member.isGone);
+    object.set("leaving", member.isDraining);
+    object.set("gone", member.isTerminated);
     return renderJson(object);
 }
 
@@ -47,8 +47,8 @@
             // Daemons of earlier versions do not state these.
             member.host.processors = object.optValue<double>("processors", 0);
             member.host.linkMbps = object.optValue<double>("link_mbps", 0);
-            member.isLeaving = object.getValue<bool>("leaving");
-            member.isGone = object.getValue<bool>("gone");
+            member.isDraining = object.getValue<bool>("leaving");
+            member.isTerminated = object.getValue<bool>("gone");
             if (member.id.isEmpty() || member.service.empty() || member.slots < 1) {
                 return absl::InvalidArgumentError("member without name, service or slots");
             }
--- a/src/persimmonrail/fleet/upstream_member.h
+++ b/src/persimmonrail/fleet/upstream_member.h
@@ -39,7 +39,7 @@
     int slots = 0;
     bool isDraining = false;
     // How much longer it stays slow after its start.
-    milliseconds coldFor{0};
+    milliseconds warmUpRemaining{0};
     // Increases with each report of one life.
     int64_t sequence = 0;
 };
@@ -69,9 +69,9 @@
     std::string peerAddress;
     int slots = 0;
     // Takes no new work, since the upstream leaves or its daemon stops.
-    bool isLeaving = false;
+    bool isDraining = false;
     // The upstream is gone; nothing of it runs any more and it holds no key.
-    bool isGone = false;
+    bool isTerminated = false;
     host_resources host = {};
 
     bool operator==(const upstream_member &) const = default;
@@ -79,7 +79,7 @@
 
 // Order in which members do work for others, such as passing on what changes: the strongest hosts
 // come first, since the weakest have hardly enough for their own requests.
-bool worksBefore(const upstream_member &a, const upstream_member &b);
+bool hasMoreCapacity(const upstream_member &a, const upstream_member &b);
 
 std::string encodeMember(const upstream_member &member);
 // Errors: InvalidArgument.
--- a/src/persimmonrail/gateway/caller_sink.cpp
+++ b/src/persimmonrail/gateway/caller_sink.cpp
@@ -17,7 +17,7 @@
 {
     head.set(outcomeHeader, std::string(toString(request_outcome::Run)));
     head.set(requestIdHeader, requestId);
-    return exchange.beginAnswer(head, framing);
+    return exchange.beginResponse(head, framing);
 }
 
 } // namespace
@@ -42,45 +42,46 @@
 { }
 
 bool caller_sink::begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
-                        std::string_view first, bool whole)
+                        std::string_view first, bool isComplete)
 {
-    Poco::Net::HTTPResponse answer(head);
-    removeOwnFields(answer);
-    removeConnectionFields(answer);
-    if (whole && m_keep && first.size() <= bodyPieceBytes) {
-        auto kept = std::make_shared<kept_answer>();
-        kept->status = answer.getStatus();
+    Poco::Net::HTTPResponse response(head);
+    removeOwnFields(response);
+    removeConnectionFields(response);
+    if (isComplete && m_keep && first.size() <= bodyPieceBytes) {
+        auto kept = std::make_shared<stored_response>();
+        kept->status = response.getStatus();
         kept->body = first;
-        for (const auto &[name, value] : answer) {
+        for (const auto &[name, value] : response) {
             kept->fields.emplace_back(name, value);
         }
         m_keep(std::move(kept));
     }
     const body_framing sent =
-        whole ? body_framing{body_framing::kind::Length, first.size()} : framing;
-    return sendRun(m_exchange, answer, sent, m_requestId) && m_exchange.writeAnswer(first)
-        && (!whole || m_exchange.endAnswer());
+        isComplete ? body_framing{body_framing::kind::Length, first.size()} : framing;
+    return sendRun(m_exchange, response, sent, m_requestId) && m_exchange.writeResponse(first)
+        && (!isComplete || m_exchange.endResponse());
 }
 
 bool caller_sink::write(std::string_view piece)
 {
-    return m_exchange.writeAnswer(piece);
+    return m_exchange.writeResponse(piece);
 }
 
 bool caller_sink::finish()
 {
-    return m_exchange.endAnswer();
+    return m_exchange.endResponse();
 }
 
-bool sendStored(server_exchange &exchange, const kept_answer &answer, const std::string &requestId)
+bool sendStored(server_exchange &exchange, const stored_response &response,
+                const std::string &requestId)
 {
-    Poco::Net::HTTPResponse head(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(answer.status));
-    for (const auto &[name, value] : answer.fields) {
+    Poco::Net::HTTPResponse head(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(response.status));
+    for (const auto &[name, value] : response.fields) {
         head.add(name, value);
     }
-    const body_framing framing{body_framing::kind::Length, answer.body.size()};
-    return sendRun(exchange, head, framing, requestId) && exchange.writeAnswer(answer.body)
-        && exchange.endAnswer();
+    const body_framing framing{body_framing::kind::Length, response.body.size()};
+    return sendRun(exchange, head, framing, requestId) && exchange.writeResponse(response.body)
+        && exchange.endResponse();
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/caller_sink.h
+++ b/src/persimmonrail/gateway/caller_sink.h
@@ -13,18 +13,18 @@
 void removeOwnFields(Poco::Net::HTTPMessage &message);
 
 // Passes the answer of an upstream to the requester, with the outcome "run". Used by one thread.
-class caller_sink : public answer_sink
+class caller_sink : public response_sink
 {
 public:
     // Receives a whole answer before the requester does, so that a resend which follows at once
     // finds it.
-    using keep_hook = std::function<void(std::shared_ptr<const kept_answer> answer)>;
+    using keep_hook = std::function<void(std::shared_ptr<const stored_response> response)>;
 
     // `keep` gets whole answers of at most bodyPieceBytes; empty keeps none.
     caller_sink(server_exchange &exchange, std::string requestId, keep_hook keep = {});
 
     bool begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
-               std::string_view first, bool whole) override;
+               std::string_view first, bool isComplete) override;
     bool write(std::string_view piece) override;
     bool finish() override;
 
@@ -35,6 +35,7 @@
 };
 
 // Sends a kept answer.
-bool sendStored(server_exchange &exchange, const kept_answer &answer, const std::string &requestId);
+bool sendStored(server_exchange &exchange, const stored_response &response,
+                const std::string &requestId);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/crash_watch.cpp
+++ b/src/persimmonrail/gateway/crash_watch.cpp
@@ -51,11 +51,11 @@
     }
 }
 
-void crash_watch::end(const hand_over_result &result, steady_time now)
+void crash_watch::end(const dispatch_result &result, steady_time now)
 {
     if (m_run) {
         const bool lost = result.outcome == request_outcome::Unknown
-            && (result.reason == toString(exchange_state::NoAnswer)
+            && (result.reason == toString(exchange_state::NoResponse)
                 || result.reason == toString(exchange_state::Truncated));
         m_quarantine->end(*m_run, fingerprint(),
                           lost ? crash_quarantine::run_end::ConnectionLost
--- a/src/persimmonrail/gateway/crash_watch.h
+++ b/src/persimmonrail/gateway/crash_watch.h
@@ -2,7 +2,7 @@
 
 #include "persimmonrail/gateway/gateway_hooks.h"
 #include "persimmonrail/http/http_server.h"
-#include "persimmonrail/upstream/upstream_guard.h"
+#include "persimmonrail/upstream/upstream_client.h"
 
 #include <optional>
 #include <string>
@@ -28,7 +28,7 @@
     std::optional<admission_refusal> refusal(steady_time deadline, steady_time now);
     // Note the hand-over and its end. An end that is missing counts as regular.
     void begin();
-    void end(const hand_over_result &result, steady_time now);
+    void end(const dispatch_result &result, steady_time now);
 
     body_framing framing() const override { return m_exchange.framing(); }
     io_status read(std::string &piece, steady_time until) override;
--- a/src/persimmonrail/gateway/forwarder.cpp
+++ b/src/persimmonrail/gateway/forwarder.cpp
@@ -31,12 +31,12 @@
 probe_result probePeer(const std::string &address, const std::string &requestId)
 {
     http_client fresh(std::make_shared<connection_pool>());
-    const auto answer = simpleRequest(fresh, address, "GET", inFlightPath + requestId, "",
-                                      std::chrono::steady_clock::now() + probeTimeout);
-    if (!answer.ok()) {
+    const auto response = simpleRequest(fresh, address, "GET", inFlightPath + requestId, "",
+                                        std::chrono::steady_clock::now() + probeTimeout);
+    if (!response.ok()) {
         return probe_result::Silent;
     }
-    return answer->status == 404 ? probe_result::Lost : probe_result::InFlight;
+    return response->status == 404 ? probe_result::Lost : probe_result::InFlight;
 }
 
 bool hasRun(const Poco::Net::HTTPResponse &head)
@@ -56,7 +56,7 @@
     }
     if (outcome == toString(request_outcome::NotRun)) {
         result.outcome = request_outcome::NotRun;
-        result.tryNext = isPassing(result.reason);
+        result.tryNext = isRetryable(result.reason);
         return;
     }
     result.outcome = request_outcome::Unknown;
@@ -67,7 +67,7 @@
 
 } // namespace
 
-bool isPassing(std::string_view reason)
+bool isRetryable(std::string_view reason)
 {
     // Reasons that end when the partition has moved or the upstream has been granted it.
     static constexpr std::string_view passing[] = {"not-owner",
@@ -86,9 +86,9 @@
     , m_client(m_pool)
 { }
 
-forward_result forwarder::forward(client_request request, answer_sink &sink)
+forward_result forwarder::forward(client_request request, response_sink &sink)
 {
-    request.wanted = hasRun;
+    request.acceptsResponse = hasRun;
     // A body that is too large to be kept for another attempt is sent only once the peer has
     // accepted the request.
     if (request.body != nullptr) {
@@ -108,12 +108,12 @@
     };
     const exchange_result exchange = m_client.exchange(request, sink);
     forward_result result;
-    result.answerStarted = exchange.answerStarted;
-    result.callerGone = exchange.sinkGone;
+    result.responseStarted = exchange.responseStarted;
+    result.callerDisconnected = exchange.sinkGone;
     result.reason = toString(exchange.state);
     result.outcome = exchange.anySent ? request_outcome::Unknown : request_outcome::NotRun;
     switch (exchange.state) {
-    case exchange_state::Whole:
+    case exchange_state::Complete:
         result.outcome = request_outcome::Run;
         result.status = exchange.head.getStatus();
         result.reason = "answered";
@@ -126,8 +126,8 @@
         result.reason = exchange.deadlinePassed ? "deadline-exceeded" : "peer-refused-connection";
         result.tryNext = !exchange.deadlinePassed;
         break;
-    case exchange_state::CallerGone:
-        result.callerGone = true;
+    case exchange_state::CallerDisconnected:
+        result.callerDisconnected = true;
         break;
     default:
         break;
--- a/src/persimmonrail/gateway/forwarder.h
+++ b/src/persimmonrail/gateway/forwarder.h
@@ -19,14 +19,14 @@
     // Instance named in a "not owner" answer; empty if none was.
     std::string holder;
     // Whether the sink received the head of the answer.
-    bool answerStarted = false;
-    bool callerGone = false;
+    bool responseStarted = false;
+    bool callerDisconnected = false;
     int status = 0;
     milliseconds retryAfter{0};
 };
 
 // Whether a request that was not run for this reason may run elsewhere, or here a little later.
-bool isPassing(std::string_view reason);
+bool isRetryable(std::string_view reason);
 
 // Path under which a peer port tells whether a request is in flight there: 200 or 404.
 inline constexpr char inFlightPath[] = "/v1/requests/";
@@ -38,9 +38,9 @@
     forwarder();
 
     // `request.address` is the peer address, and the message carries the request id;
-    // `request.wanted` and the probe are set by the forwarder. Answers that did not run on the peer
-    // are not passed to the sink.
-    forward_result forward(client_request request, answer_sink &sink);
+    // `request.acceptsResponse` and the probe are set by the forwarder. Answers that did not run on
+    // the peer are not passed to the sink.
+    forward_result forward(client_request request, response_sink &sink);
     // Whether a request is better sent to another peer for now.
     bool isSilent(std::string_view address, steady_time now) const
     {
--- a/src/persimmonrail/gateway/gateway_hooks.h
+++ b/src/persimmonrail/gateway/gateway_hooks.h
@@ -104,9 +104,9 @@
     std::function<at_most_once_verdict(std::string_view service, std::string_view idempotencyKey,
                                        const lease_ticket &ticket, steady_time now)>
         atMostOnceBegin;
-    // `answer` is null if the answer was too large to keep or not whole.
+    // `response` is null if the answer was too large to keep or not whole.
     std::function<void(std::string_view service, std::string_view idempotencyKey,
-                       request_outcome outcome, std::shared_ptr<const kept_answer> answer)>
+                       request_outcome outcome, std::shared_ptr<const stored_response> response)>
         atMostOnceEnd;
 
     // Consulted before each hand-over to the local upstream. Must outlive the request path.
--- a/src/persimmonrail/gateway/request_path.cpp
+++ b/src/persimmonrail/gateway/request_router.cpp
@@ -1,7 +1,7 @@
-#include "persimmonrail/gateway/request_path.h"
+#include "persimmonrail/gateway/request_router.h"
 
 #include "persimmonrail/base/header_names.h"
-#include "persimmonrail/gateway/request_call.h"
+#include "persimmonrail/gateway/routed_request.h"
 
 #include <Poco/JSON/Array.h>
 #include <Poco/JSON/Object.h>
@@ -42,16 +42,16 @@
 
 } // namespace
 
-request_path::request_path(request_path_options options, gateway_hooks hooks, upstream_guard &guard,
-                           decision_log &log, metrics &metrics)
+request_router::request_router(request_router_options options, gateway_hooks hooks,
+                               upstream_client &upstreamClient, decision_log &log, metrics &metrics)
     : m_options(std::move(options))
     , m_hooks(std::move(hooks))
-    , m_guard(guard)
+    , m_upstreamClient(upstreamClient)
     , m_log(log)
     , m_metrics(metrics)
     , m_defaultAdmission(std::make_unique<slot_admission>(
-          [&guard] {
-              const auto status = guard.status(std::chrono::steady_clock::now());
+          [&upstreamClient] {
+              const auto status = upstreamClient.status(std::chrono::steady_clock::now());
               return status.announcement ? status.announcement->slots : 0;
           },
           m_options.queueLength, m_options.maxQueueTime))
@@ -85,19 +85,19 @@
     }
     if (!m_hooks.atMostOnceEnd) {
         m_hooks.atMostOnceEnd = [](std::string_view, std::string_view, request_outcome,
-                                   const std::shared_ptr<const kept_answer> &) {};
+                                   const std::shared_ptr<const stored_response> &) {};
     }
 }
 
-request_path::~request_path() = default;
+request_router::~request_router() = default;
 
-void request_path::serveCaller(server_exchange &exchange)
+void request_router::serveCaller(server_exchange &exchange)
 {
     const counted_request counted(m_inFlight);
-    request_call(*this, exchange).serveCaller();
+    routed_request(*this, exchange).serveCaller();
 }
 
-void request_path::servePeer(server_exchange &exchange)
+void request_router::servePeer(server_exchange &exchange)
 {
     const counted_request counted(m_inFlight);
     const std::string id = exchange.request().get(requestIdHeader, "");
@@ -106,55 +106,55 @@
         const std::lock_guard lock(m_mutex);
         entry = m_peerRequests.insert(id);
     }
-    request_call(*this, exchange).servePeer();
+    routed_request(*this, exchange).servePeer();
     const std::lock_guard lock(m_mutex);
     m_peerRequests.erase(entry);
 }
 
-bool request_path::isInFlight(const std::string &requestId) const
+bool request_router::isInFlight(const std::string &requestId) const
 {
     const std::lock_guard lock(m_mutex);
     return m_peerRequests.contains(requestId);
 }
 
-void request_path::serveError(server_exchange &exchange, int status, const std::string &reason)
+void request_router::serveError(server_exchange &exchange, int status, const std::string &reason)
 {
-    call_result result;
+    attempt_result result;
     result.status = status;
     result.reason = reason;
-    request_call(*this, exchange).answerError(result);
+    routed_request(*this, exchange).respondWithError(result);
 }
 
-std::string request_path::explain(std::string_view service, std::string_view key,
-                                  steady_time now) const
+std::string request_router::explain(std::string_view service, std::string_view key,
+                                    steady_time now) const
 {
-    Poco::JSON::Object answer;
+    Poco::JSON::Object response;
     const uint64_t hash = keyHash(key);
-    answer.set("service", std::string(service));
-    answer.set("key_hash", hashToString(hash));
+    response.set("service", std::string(service));
+    response.set("key_hash", hashToString(hash));
     const auto view = m_hooks.view();
     if (view) {
-        answer.set("revision", view->revision);
-        answer.set("known_service", view->documents.contains(service));
+        response.set("revision", view->revision);
+        response.set("known_service", view->documents.contains(service));
         if (const versioned_record *const record = view->findRecord(service, hash)) {
-            answer.set("partition", record->record.partition);
-            answer.set("recorded_owner", toString(record->record.owner));
-            answer.set("recorded_term", record->record.term);
+            response.set("partition", record->record.partition);
+            response.set("recorded_owner", toString(record->record.owner));
+            response.set("recorded_term", record->record.term);
         }
         Poco::JSON::Array candidates;
         for (const auto &member : m_hooks.candidates(*view, service, hash, {})) {
             candidates.add(toString(member.id));
         }
-        answer.set("candidates", candidates);
+        response.set("candidates", candidates);
     }
     if (const auto ticket = m_hooks.localLease(service, hash, now)) {
-        answer.set("held_by", m_options.instance);
-        answer.set("term", ticket->term());
+        response.set("held_by", m_options.instance);
+        response.set("term", ticket->term());
     } else if (const std::string holder = m_hooks.holderHint(service, hash); !holder.empty()) {
-        answer.set("held_by", holder);
+        response.set("held_by", holder);
     }
     std::ostringstream text;
-    answer.stringify(text);
+    response.stringify(text);
     return text.str();
 }
 
--- a/src/persimmonrail/gateway/request_path.h
+++ b/src/persimmonrail/gateway/request_router.h
@@ -5,7 +5,7 @@
 #include "persimmonrail/http/http_server.h"
 #include "persimmonrail/telemetry/decision_log.h"
 #include "persimmonrail/telemetry/metrics.h"
-#include "persimmonrail/upstream/upstream_guard.h"
+#include "persimmonrail/upstream/upstream_client.h"
 
 #include <atomic>
 #include <memory>
@@ -15,7 +15,7 @@
 
 namespace persimmonrail {
 
-struct request_path_options
+struct request_router_options
 {
     // Name of this daemon's instance.
     std::string instance;
@@ -28,18 +28,18 @@
     milliseconds maxQueueTime{100};
 };
 
-class request_call;
+class routed_request;
 
 // Takes requests from callers and from other daemons to the upstream that may run them. Thread
 // safe; each request runs on the thread of its connection.
-class request_path
+class request_router
 {
 public:
-    // `guard`, `log` and `metrics` must outlive the object. Hooks without a value get their
-    // default, except for `view`, which is required.
-    request_path(request_path_options options, gateway_hooks hooks, upstream_guard &guard,
-                 decision_log &log, metrics &metrics);
-    ~request_path();
+    // `upstreamClient`, `log` and `metrics` must outlive the object. Hooks without a value get
+    // their default, except for `view`, which is required.
+    request_router(request_router_options options, gateway_hooks hooks,
+                   upstream_client &upstreamClient, decision_log &log, metrics &metrics);
+    ~request_router();
 
     // Request of a caller: ANY /<service>/<path>.
     void serveCaller(server_exchange &exchange);
@@ -56,11 +56,11 @@
     std::string explain(std::string_view service, std::string_view key, steady_time now) const;
 
 private:
-    friend class request_call;
+    friend class routed_request;
 
-    const request_path_options m_options;
+    const request_router_options m_options;
     gateway_hooks m_hooks;
-    upstream_guard &m_guard;
+    upstream_client &m_upstreamClient;
     decision_log &m_log;
     metrics &m_metrics;
     forwarder m_forwarder;
--- a/src/persimmonrail/gateway/request_target.cpp
+++ b/src/persimmonrail/gateway/request_target.cpp
@@ -146,7 +146,7 @@
     return text[14] == '7' && std::string_view("89abAB").find(text[19]) != std::string_view::npos;
 }
 
-std::string drawRequestId()
+std::string generateRequestId()
 {
     thread_local std::mt19937_64 random = [] {
         std::random_device device;
--- a/src/persimmonrail/gateway/request_target.h
+++ b/src/persimmonrail/gateway/request_target.h
@@ -35,6 +35,6 @@
 bool isUuidV7(std::string_view text);
 
 // Draws a request id of 32 hexadecimal digits.
-std::string drawRequestId();
+std::string generateRequestId();
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/request_call.cpp
+++ b/src/persimmonrail/gateway/routed_request.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/gateway/request_call.h"
+#include "persimmonrail/gateway/routed_request.h"
 
 #include "persimmonrail/base/header_names.h"
 #include "persimmonrail/gateway/crash_watch.h"
@@ -25,16 +25,16 @@
     return std::chrono::steady_clock::now();
 }
 
-call_result notRun(std::string reason, int status = 0)
+attempt_result notRun(std::string reason, int status = 0)
 {
-    call_result result;
+    attempt_result result;
     result.reason = std::move(reason);
     result.status = status;
-    result.tryNext = isPassing(result.reason);
+    result.tryNext = isRetryable(result.reason);
     return result;
 }
 
-int statusOf(const call_result &result)
+int statusOf(const attempt_result &result)
 {
     if (result.status != 0) {
         return result.status;
@@ -50,22 +50,22 @@
 
 } // namespace
 
-request_call::request_call(request_path &path, server_exchange &exchange)
-    : m_path(path)
+routed_request::routed_request(request_router &path, server_exchange &exchange)
+    : m_router(path)
     , m_exchange(exchange)
     , m_start(currentTime())
     , m_message(exchange.request())
 { }
 
-void request_call::serveCaller()
+void routed_request::serveCaller()
 {
-    m_requestId = drawRequestId();
-    std::optional<call_result> ended = findOperation();
+    m_requestId = generateRequestId();
+    std::optional<attempt_result> ended = findOperation();
     if (!ended) {
         ended = findKey();
     }
     if (!ended) {
-        m_path.m_hooks.retryBudget(false, m_start);
+        m_router.m_hooks.retryBudget(false, m_start);
         m_message.set(requestIdHeader, m_requestId);
         m_message.set(rankHeader, m_rank);
         if (!m_subsidiary.empty()) {
@@ -81,7 +81,7 @@
     finish(*std::move(ended));
 }
 
-std::optional<call_result> request_call::findOperation()
+std::optional<attempt_result> routed_request::findOperation()
 {
     const std::string statedDeadline = m_message.get(deadlineHeader, "");
     takeSubsidiary();
@@ -91,7 +91,7 @@
         return notRun("invalid-path", 400);
     }
     m_target = *std::move(target);
-    m_view = m_path.m_hooks.view();
+    m_view = m_router.m_hooks.view();
     if (!m_view) {
         return notRun("not-ready");
     }
@@ -120,12 +120,12 @@
     return std::nullopt;
 }
 
-void request_call::takeSubsidiary()
+void routed_request::takeSubsidiary()
 {
     m_subsidiary = m_message.get(subsidiaryHeader, "").substr(0, maxSubsidiaryLength);
 }
 
-std::optional<call_result> request_call::findKey()
+std::optional<attempt_result> routed_request::findKey()
 {
     if (!m_repeatable) {
         m_idempotencyKey = m_message.get(idempotencyKeyHeader, "");
@@ -148,18 +148,18 @@
     return std::nullopt;
 }
 
-bool request_call::prepareBody()
+bool routed_request::prepareBody()
 {
     return m_exchange.framing().type == body_framing::kind::None || m_exchange.rewind();
 }
 
-bool request_call::mayContinue(const call_result &result)
+bool routed_request::mayContinue(const attempt_result &result)
 {
     if (result.outcome == request_outcome::Unknown) {
         m_mayHaveRun = true;
         m_unknownReason = result.reason;
     }
-    if (result.answerStarted || result.callerGone || !prepareBody()) {
+    if (result.responseStarted || result.callerDisconnected || !prepareBody()) {
         return false;
     }
     const steady_time now = currentTime();
@@ -171,50 +171,50 @@
     }
     return result.outcome == request_outcome::Unknown && m_repeatable
         && result.reason != "deadline-exceeded" && result.reason != "malformed-request-body"
-        && m_path.m_hooks.retryBudget(true, now);
+        && m_router.m_hooks.retryBudget(true, now);
 }
 
-call_result request_call::routeByHash()
+attempt_result routed_request::routeByHash()
 {
     for (;;) {
         const steady_time now = currentTime();
-        if (const auto ticket = m_path.m_hooks.localLease(m_target.service, *m_hash, now)) {
-            call_result result = runLocal(ticket.get());
+        if (const auto ticket = m_router.m_hooks.localLease(m_target.service, *m_hash, now)) {
+            attempt_result result = runLocal(ticket.get());
             if (!mayContinue(result)) {
                 return result;
             }
         }
-        call_result result = tryCandidates();
+        attempt_result result = tryCandidates();
         if (!mayContinue(result)) {
             return result;
         }
-        const steady_time next = currentTime() + m_path.m_options.roundPause;
+        const steady_time next = currentTime() + m_router.m_options.roundPause;
         if (next >= m_deadline) {
             return result;
         }
         if (m_exchange.connection().waitClosed(next)) {
-            result.callerGone = true;
+            result.callerDisconnected = true;
             return result;
         }
-        if (auto view = m_path.m_hooks.view()) {
+        if (auto view = m_router.m_hooks.view()) {
             m_view = std::move(view);
         }
     }
 }
 
 // One round over the candidates. A holder named by one of them is tried next.
-call_result request_call::tryCandidates()
+attempt_result routed_request::tryCandidates()
 {
-    call_result result = notRun("no-owner");
+    attempt_result result = notRun("no-owner");
     result.tryNext = true;
     std::vector<instance_id> tried;
     for (;;) {
         const auto candidates =
-            m_path.m_hooks.candidates(*m_view, m_target.service, *m_hash, m_holderHint);
+            m_router.m_hooks.candidates(*m_view, m_target.service, *m_hash, m_holderHint);
         const auto isNew = [&](const member_record &member) {
-            return member.id.name != m_path.m_options.instance
+            return member.id.name != m_router.m_options.instance
                 && std::find(tried.begin(), tried.end(), member.id) == tried.end()
-                && !m_path.m_forwarder.isSilent(member.peerAddress, currentTime());
+                && !m_router.m_forwarder.isSilent(member.peerAddress, currentTime());
         };
         auto next = std::find_if(candidates.begin(), candidates.end(), [&](const auto &member) {
             return member.id.name == m_holderHint && isNew(member);
@@ -234,23 +234,24 @@
     }
 }
 
-call_result request_call::routeToAny()
+attempt_result routed_request::routeToAny()
 {
-    call_result result = notRun("no-instance");
+    attempt_result result = notRun("no-instance");
     std::vector<instance_id> tried;
-    for (int attempt = 0; attempt < m_path.m_options.maxInstances; ++attempt) {
+    for (int attempt = 0; attempt < m_router.m_options.maxInstances; ++attempt) {
         const steady_time started = currentTime();
-        const auto member = m_path.m_hooks.pickInstance(*m_view, m_target.service, tried, started);
+        const auto member =
+            m_router.m_hooks.pickInstance(*m_view, m_target.service, tried, started);
         if (!member) {
             return result;
         }
         tried.push_back(member->id);
         result =
-            member->id.name == m_path.m_options.instance ? runLocal(nullptr) : forwardTo(*member);
+            member->id.name == m_router.m_options.instance ? runLocal(nullptr) : forwardTo(*member);
         const steady_time ended = currentTime();
-        if (m_path.m_hooks.attemptEnded) {
-            m_path.m_hooks.attemptEnded(m_target.service, *member, result.outcome, result.reason,
-                                        ended - started, ended);
+        if (m_router.m_hooks.attemptEnded) {
+            m_router.m_hooks.attemptEnded(m_target.service, *member, result.outcome, result.reason,
+                                          ended - started, ended);
         }
         // Any instance may run the request, so another one may have room for it. One that crashed
         // an upstream must not reach the next.
@@ -263,7 +264,7 @@
     return result;
 }
 
-call_result request_call::forwardTo(const member_record &member)
+attempt_result routed_request::forwardTo(const member_record &member)
 {
     const steady_time now = currentTime();
     client_request request;
@@ -278,14 +279,14 @@
     request.deadline = m_deadline;
     request.caller = &m_exchange.connection();
     caller_sink sink(m_exchange, m_requestId);
-    const forward_result forwarded = m_path.m_forwarder.forward(std::move(request), sink);
-    call_result result;
+    const forward_result forwarded = m_router.m_forwarder.forward(std::move(request), sink);
+    attempt_result result;
     result.outcome = forwarded.outcome;
     result.reason = forwarded.reason;
     result.retryAfter = forwarded.retryAfter;
     result.tryNext = forwarded.tryNext;
-    result.answerStarted = forwarded.answerStarted;
-    result.callerGone = forwarded.callerGone;
+    result.responseStarted = forwarded.responseStarted;
+    result.callerDisconnected = forwarded.callerDisconnected;
     result.holder = forwarded.holder;
     if (forwarded.outcome == request_outcome::NotRun && forwarded.status != 503) {
         result.status = forwarded.status;
@@ -294,32 +295,32 @@
     return result;
 }
 
-call_result request_call::runLocal(const lease_ticket *ticket)
+attempt_result routed_request::runLocal(const lease_ticket *ticket)
 {
     const steady_time now = currentTime();
-    const upstream_status status = m_path.m_guard.status(now);
-    call_result result;
+    const upstream_status status = m_router.m_upstreamClient.status(now);
+    attempt_result result;
     if (!status.announcement || status.state == upstream_state::Down) {
         result = notRun("upstream-down");
     } else if (status.announcement->service != m_target.service) {
         result = notRun("wrong-service");
     } else if (m_repeatable) {
-        result = admitAndHandOver(ticket, {});
+        result = admitAndDispatch(ticket, {});
     } else if (ticket == nullptr) {
         result = notRun("not-owner");
     } else {
         result = runAtMostOnce(*ticket, now);
     }
-    logAttempt(m_path.m_options.instance, ticket, result);
+    logAttempt(m_router.m_options.instance, ticket, result);
     return result;
 }
 
-call_result request_call::runAtMostOnce(const lease_ticket &ticket, steady_time now)
+attempt_result routed_request::runAtMostOnce(const lease_ticket &ticket, steady_time now)
 {
-    const auto &hooks = m_path.m_hooks;
+    const auto &hooks = m_router.m_hooks;
     const at_most_once_verdict decision =
         hooks.atMostOnceBegin(m_target.service, m_idempotencyKey, ticket, now);
-    call_result result;
+    attempt_result result;
     if (decision.what == at_most_once_verdict::action::Refuse) {
         result.outcome = decision.outcome;
         result.reason = decision.reason;
@@ -328,15 +329,15 @@
     if (decision.what == at_most_once_verdict::action::Replay) {
         result.outcome = request_outcome::Run;
         result.reason = "answered-from-record";
-        result.answerStarted = true;
-        result.callerGone = !sendStored(m_exchange, *decision.answer, m_requestId);
+        result.responseStarted = true;
+        result.callerDisconnected = !sendStored(m_exchange, *decision.response, m_requestId);
         return result;
     }
     bool ended = false;
-    result = admitAndHandOver(&ticket, [&](std::shared_ptr<const kept_answer> answer) {
+    result = admitAndDispatch(&ticket, [&](std::shared_ptr<const stored_response> response) {
         ended = true;
         hooks.atMostOnceEnd(m_target.service, m_idempotencyKey, request_outcome::Run,
-                            std::move(answer));
+                            std::move(response));
     });
     if (!ended) {
         hooks.atMostOnceEnd(m_target.service, m_idempotencyKey, result.outcome, nullptr);
@@ -344,30 +345,31 @@
     return result;
 }
 
-call_result request_call::admitAndHandOver(const lease_ticket *ticket,
-                                           const caller_sink::keep_hook &keep)
+attempt_result routed_request::admitAndDispatch(const lease_ticket *ticket,
+                                                const caller_sink::keep_hook &keep)
 {
-    if (m_path.m_hooks.refusesNewWork(currentTime())) {
+    if (m_router.m_hooks.refusesNewWork(currentTime())) {
         return notRun("draining");
     }
-    crash_watch watch(m_path.m_hooks.quarantine, m_exchange, m_target.service, m_hash.value_or(0));
+    crash_watch watch(m_router.m_hooks.quarantine, m_exchange, m_target.service,
+                      m_hash.value_or(0));
     if (const auto refusal = watch.refusal(m_deadline, currentTime())) {
-        call_result result = notRun(refusal->reason);
+        attempt_result result = notRun(refusal->reason);
         result.retryAfter = refusal->retryAfter;
         return result;
     }
-    const admission_result admitted = m_path.m_hooks.admit(
+    const admission_result admitted = m_router.m_hooks.admit(
         {m_target.service, m_rankIndex, m_subsidiary, m_deadline}, currentTime());
     if (const auto *const refusal = std::get_if<admission_refusal>(&admitted)) {
-        call_result result = notRun(refusal->reason, 429);
+        attempt_result result = notRun(refusal->reason, 429);
         result.retryAfter = refusal->retryAfter;
         return result;
     }
     // The wait for a slot may have passed the time from which no new work is taken.
-    if (m_path.m_hooks.refusesNewWork(currentTime())) {
+    if (m_router.m_hooks.refusesNewWork(currentTime())) {
         return notRun("draining");
     }
-    hand_over request;
+    dispatch_request request;
     request.message = m_message;
     if (m_exchange.framing().type != body_framing::kind::None) {
         request.body = &watch;
@@ -384,24 +386,25 @@
     request.caller = &m_exchange.connection();
     caller_sink sink(m_exchange, m_requestId, keep);
     watch.begin();
-    const steady_time handedAt = currentTime();
-    const hand_over_result handed = m_path.m_guard.handOver(request, sink, handedAt);
+    const steady_time dispatchedAt = currentTime();
+    const dispatch_result dispatched =
+        m_router.m_upstreamClient.dispatch(request, sink, dispatchedAt);
     const steady_time endedAt = currentTime();
-    watch.end(handed, endedAt);
-    std::get<std::unique_ptr<admission_ticket>>(admitted)->finish(handed.outcome, handed.reason,
-                                                                  endedAt - handedAt, endedAt);
-    call_result result;
-    result.outcome = handed.outcome;
-    result.reason = handed.reason;
-    result.retryAfter = handed.retryAfter;
-    result.answerStarted = handed.answerStarted;
-    result.callerGone = handed.callerGone;
-    result.tryNext = isPassing(handed.reason);
+    watch.end(dispatched, endedAt);
+    std::get<std::unique_ptr<admission_ticket>>(admitted)->finish(
+        dispatched.outcome, dispatched.reason, endedAt - dispatchedAt, endedAt);
+    attempt_result result;
+    result.outcome = dispatched.outcome;
+    result.reason = dispatched.reason;
+    result.retryAfter = dispatched.retryAfter;
+    result.responseStarted = dispatched.responseStarted;
+    result.callerDisconnected = dispatched.callerDisconnected;
+    result.tryNext = isRetryable(dispatched.reason);
     return result;
 }
 
-void request_call::logAttempt(std::string_view instance, const lease_ticket *ticket,
-                              const call_result &result)
+void routed_request::logAttempt(std::string_view instance, const lease_ticket *ticket,
+                                const attempt_result &result)
 {
     decision line;
     line.kind = "route";
@@ -416,10 +419,10 @@
     line.instance = instance;
     line.outcome = toString(result.outcome);
     line.reason = result.reason;
-    m_path.m_log.write(line);
+    m_router.m_log.write(line);
 }
 
-void request_call::finish(call_result result)
+void routed_request::finish(attempt_result result)
 {
     if (m_mayHaveRun && result.outcome == request_outcome::NotRun) {
         result.outcome = request_outcome::Unknown;
@@ -428,20 +431,20 @@
     }
     // Names of unknown services come from callers and would make the number of series unbounded.
     const std::string service = m_document ? m_document->service : std::string();
-    m_path.m_metrics.recordLatency(service, m_rank, result.outcome, currentTime() - m_start);
-    m_path.m_metrics.count("persimmonrail_answers_total",
-                           absl::StrCat("service=\"", escapeLabel(service), "\",outcome=\"",
-                                        std::string(toString(result.outcome)), "\",reason=\"",
-                                        escapeLabel(result.reason), "\""));
-    if (!result.answerStarted && !result.callerGone) {
-        answerError(result);
+    m_router.m_metrics.recordLatency(service, m_rank, result.outcome, currentTime() - m_start);
+    m_router.m_metrics.count("persimmonrail_answers_total",
+                             absl::StrCat("service=\"", escapeLabel(service), "\",outcome=\"",
+                                          std::string(toString(result.outcome)), "\",reason=\"",
+                                          escapeLabel(result.reason), "\""));
+    if (!result.responseStarted && !result.callerDisconnected) {
+        respondWithError(result);
     }
 }
 
-void request_call::answerError(const call_result &result)
+void routed_request::respondWithError(const attempt_result &result)
 {
     if (m_requestId.empty()) {
-        m_requestId = drawRequestId();
+        m_requestId = generateRequestId();
     }
     const std::string outcome(toString(result.outcome));
     Poco::JSON::Object body;
@@ -463,10 +466,10 @@
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(result.retryAfter).count();
         head.set("Retry-After", absl::StrCat(std::max<int64_t>(seconds, 1)));
     }
-    m_exchange.answer(head, text.str());
+    m_exchange.respond(head, text.str());
 }
 
-void request_call::servePeer()
+void routed_request::servePeer()
 {
     m_requestId = m_message.get(requestIdHeader, "");
     m_rank = m_message.get(rankHeader, "");
@@ -477,13 +480,13 @@
     if (!target.ok() || m_requestId.empty()
         || !absl::SimpleAtoi(m_message.get(deadlineHeader, ""), &left) || left < 0
         || left > maxDeadlineMs || (!hash.empty() && !absl::SimpleHexAtoi(hash, &hashValue))) {
-        return answerError(notRun("malformed-forwarded-request", 400));
+        return respondWithError(notRun("malformed-forwarded-request", 400));
     }
     takeSubsidiary();
     removeOwnFields(m_message);
     m_target = *std::move(target);
     m_deadline = m_start + milliseconds(left);
-    m_view = m_path.m_hooks.view();
+    m_view = m_router.m_hooks.view();
     if (m_view) {
         const auto document = m_view->documents.find(m_target.service);
         m_document = document == m_view->documents.end() ? nullptr : document->second;
@@ -496,23 +499,23 @@
     m_repeatable = operation != nullptr && operation->repeatable && !isUuidV7(m_idempotencyKey);
     m_rankIndex = m_document ? m_document->rankIndex(m_rank) : 0;
     if (hash.empty()) {
-        const call_result result = runLocal(nullptr);
-        if (!result.answerStarted && !result.callerGone) {
-            answerError(result);
+        const attempt_result result = runLocal(nullptr);
+        if (!result.responseStarted && !result.callerDisconnected) {
+            respondWithError(result);
         }
         return;
     }
     m_hash = hashValue;
-    const auto ticket = m_path.m_hooks.localLease(m_target.service, hashValue, m_start);
-    call_result result = notRun("not-owner");
+    const auto ticket = m_router.m_hooks.localLease(m_target.service, hashValue, m_start);
+    attempt_result result = notRun("not-owner");
     if (ticket) {
         result = runLocal(ticket.get());
     } else {
-        result.holder = m_path.m_hooks.holderHint(m_target.service, hashValue);
+        result.holder = m_router.m_hooks.holderHint(m_target.service, hashValue);
         logAttempt("", nullptr, result);
     }
-    if (!result.answerStarted && !result.callerGone) {
-        answerError(result);
+    if (!result.responseStarted && !result.callerDisconnected) {
+        respondWithError(result);
     }
 }
 
--- a/src/persimmonrail/gateway/request_call.h
+++ b/src/persimmonrail/gateway/routed_request.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "persimmonrail/gateway/caller_sink.h"
-#include "persimmonrail/gateway/request_path.h"
+#include "persimmonrail/gateway/request_router.h"
 #include "persimmonrail/gateway/request_target.h"
 
 #include <optional>
@@ -11,7 +11,7 @@
 namespace persimmonrail {
 
 // What one attempt, or the whole request, came to.
-struct call_result
+struct attempt_result
 {
     request_outcome outcome = request_outcome::NotRun;
     std::string reason;
@@ -20,44 +20,44 @@
     milliseconds retryAfter{0};
     // The request may run elsewhere, or here a little later.
     bool tryNext = false;
-    bool answerStarted = false;
-    bool callerGone = false;
+    bool responseStarted = false;
+    bool callerDisconnected = false;
     std::string holder;
 };
 
 // One request on its way through this daemon. Used by the thread of its connection.
-class request_call
+class routed_request
 {
 public:
-    request_call(request_path &path, server_exchange &exchange);
+    routed_request(request_router &path, server_exchange &exchange);
 
     void serveCaller();
     void servePeer();
-    void answerError(const call_result &result);
+    void respondWithError(const attempt_result &result);
 
 private:
     // Steps of the ingress daemon; each returns a result if the request ends there.
-    std::optional<call_result> findOperation();
-    std::optional<call_result> findKey();
+    std::optional<attempt_result> findOperation();
+    std::optional<attempt_result> findKey();
     void setDeadline(milliseconds timeout);
     void takeSubsidiary();
-    call_result routeByHash();
-    call_result tryCandidates();
-    call_result routeToAny();
+    attempt_result routeByHash();
+    attempt_result tryCandidates();
+    attempt_result routeToAny();
 
-    call_result runLocal(const lease_ticket *ticket);
-    call_result runAtMostOnce(const lease_ticket &ticket, steady_time now);
-    call_result admitAndHandOver(const lease_ticket *ticket, const caller_sink::keep_hook &keep);
-    call_result forwardTo(const member_record &member);
+    attempt_result runLocal(const lease_ticket *ticket);
+    attempt_result runAtMostOnce(const lease_ticket &ticket, steady_time now);
+    attempt_result admitAndDispatch(const lease_ticket *ticket, const caller_sink::keep_hook &keep);
+    attempt_result forwardTo(const member_record &member);
     // Whether another attempt may follow one with this result.
-    bool mayContinue(const call_result &result);
+    bool mayContinue(const attempt_result &result);
     // Whether the body can be sent once more; an attempt needs it.
     bool prepareBody();
     void logAttempt(std::string_view instance, const lease_ticket *ticket,
-                    const call_result &result);
-    void finish(call_result result);
+                    const attempt_result &result);
+    void finish(attempt_result result);
 
-    request_path &m_path;
+    request_router &m_router;
     server_exchange &m_exchange;
     const steady_time m_start;
     std::string m_requestId;
--- a/src/persimmonrail/gateway/servers.cpp
+++ b/src/persimmonrail/gateway/servers.cpp
@@ -29,28 +29,28 @@
     const io_status status = exchange.readAll(
         body, maxAnnouncementBytes, std::chrono::steady_clock::now() + announcementTimeout);
     if (status != io_status::Ok) {
-        exchange.closeAfterAnswer();
-        exchange.answer(status == io_status::TooLarge ? 413 : 400,
-                        errorJson("body " + std::string(toString(status))), jsonType);
+        exchange.closeAfterResponse();
+        exchange.respond(status == io_status::TooLarge ? 413 : 400,
+                         errorJson("body " + std::string(toString(status))), jsonType);
         return;
     }
     const auto announcement = parseAnnouncement(body);
     if (!announcement.ok()) {
-        exchange.answer(400, errorJson(std::string(announcement.status().message())), jsonType);
+        exchange.respond(400, errorJson(std::string(announcement.status().message())), jsonType);
         return;
     }
     if (const absl::Status taken = hooks.announce(*announcement); !taken.ok()) {
-        exchange.answer(409, errorJson(std::string(taken.message())), jsonType);
+        exchange.respond(409, errorJson(std::string(taken.message())), jsonType);
         return;
     }
-    exchange.answer(200, "{}", jsonType);
+    exchange.respond(200, "{}", jsonType);
 }
 
 void serveReady(server_exchange &exchange, const admin_hooks &hooks)
 {
     const std::string reason = hooks.notReadyReason ? hooks.notReadyReason() : std::string();
-    exchange.answer(reason.empty() ? 200 : 503, reason.empty() ? "ready\n" : reason + "\n",
-                    "text/plain");
+    exchange.respond(reason.empty() ? 200 : 503, reason.empty() ? "ready\n" : reason + "\n",
+                     "text/plain");
 }
 
 void serveExplain(server_exchange &exchange, const Poco::URI &uri, const admin_hooks &hooks)
@@ -65,10 +65,10 @@
         }
     }
     if (service.empty() || key.empty()) {
-        exchange.answer(400, errorJson("parameters service and key are required"), jsonType);
+        exchange.respond(400, errorJson("parameters service and key are required"), jsonType);
         return;
     }
-    exchange.answer(200, hooks.explain(service, key), jsonType);
+    exchange.respond(200, hooks.explain(service, key), jsonType);
 }
 
 void serveAdmin(server_exchange &exchange, const admin_hooks &hooks)
@@ -77,7 +77,7 @@
     try {
         uri = exchange.request().getURI();
     } catch (const Poco::Exception &) {
-        exchange.answer(400, errorJson("invalid URI"), jsonType);
+        exchange.respond(400, errorJson("invalid URI"), jsonType);
         return;
     }
     const std::string &path = uri.getPath();
@@ -86,21 +86,21 @@
     if (path == "/v1/announce" && method == "POST") {
         takeAnnouncement(exchange, hooks);
     } else if (path == "/metrics" && isRead) {
-        exchange.answer(200, hooks.metricsText(), metricsType);
+        exchange.respond(200, hooks.metricsText(), metricsType);
     } else if (path == "/healthz" && isRead) {
-        exchange.answer(200, "ok\n", "text/plain");
+        exchange.respond(200, "ok\n", "text/plain");
     } else if (path == "/readyz" && isRead) {
         serveReady(exchange, hooks);
     } else if (path == "/v1/explain" && isRead && hooks.explain) {
         serveExplain(exchange, uri, hooks);
     } else if (path == "/v1/state" && isRead && hooks.state) {
-        exchange.answer(200, hooks.state(), jsonType);
+        exchange.respond(200, hooks.state(), jsonType);
     } else {
-        exchange.answer(404, errorJson("no such resource or method"), jsonType);
+        exchange.respond(404, errorJson("no such resource or method"), jsonType);
     }
 }
 
-void servePeer(server_exchange &exchange, request_path &path)
+void servePeer(server_exchange &exchange, request_router &path)
 {
     const std::string &uri = exchange.request().getURI();
     if (!uri.starts_with(inFlightPath)) {
@@ -108,10 +108,10 @@
         return;
     }
     const bool isInFlight = path.isInFlight(uri.substr(sizeof(inFlightPath) - 1));
-    exchange.answer(isInFlight ? 200 : 404, "{}", jsonType);
+    exchange.respond(isInFlight ? 200 : 404, "{}", jsonType);
 }
 
-http_server::error_handler errorsOf(request_path &path)
+http_server::error_handler errorsOf(request_router &path)
 {
     return [&path](server_exchange &exchange, int status, const std::string &reason) {
         path.serveError(exchange, status, reason);
@@ -121,7 +121,7 @@
 } // namespace
 
 absl::StatusOr<std::unique_ptr<caller_server>>
-caller_server::listen(const http_server_options &options, request_path &path)
+caller_server::listen(const http_server_options &options, request_router &path)
 {
     auto server = http_server::listen(
         options, [&path](server_exchange &exchange) { path.serveCaller(exchange); },
@@ -135,7 +135,7 @@
 }
 
 absl::StatusOr<std::unique_ptr<peer_server>> peer_server::listen(const http_server_options &options,
-                                                                 request_path &path)
+                                                                 request_router &path)
 {
     auto server = http_server::listen(
         options, [&path](server_exchange &exchange) { servePeer(exchange, path); }, errorsOf(path));
--- a/src/persimmonrail/gateway/servers.h
+++ b/src/persimmonrail/gateway/servers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "persimmonrail/gateway/request_path.h"
+#include "persimmonrail/gateway/request_router.h"
 #include "persimmonrail/http/http_server.h"
 
 #include <functional>
@@ -15,7 +15,7 @@
 public:
     // Errors: Unavailable if the address can't be bound.
     static absl::StatusOr<std::unique_ptr<caller_server>> listen(const http_server_options &options,
-                                                                 request_path &path);
+                                                                 request_router &path);
     const std::string &address() const { return m_server->address(); }
     http_server &server() { return *m_server; }
 
@@ -29,7 +29,7 @@
 public:
     // Errors: Unavailable if the address can't be bound.
     static absl::StatusOr<std::unique_ptr<peer_server>> listen(const http_server_options &options,
-                                                               request_path &path);
+                                                               request_router &path);
     const std::string &address() const { return m_server->address(); }
     http_server &server() { return *m_server; }
 
--- a/src/persimmonrail/gateway/tests/admin_test.cpp
+++ b/src/persimmonrail/gateway/tests/admin_test.cpp
@@ -54,10 +54,10 @@
     };
     for (const auto &row : table) {
         CAPTURE(row.method, row.uri);
-        const caller_answer answer = call((*admin)->address(), row.method, row.uri, row.body);
-        CHECK(answer.status == row.status);
-        CAPTURE(answer.body);
-        CHECK(answer.body.find(row.text) != std::string::npos);
+        const caller_response response = call((*admin)->address(), row.method, row.uri, row.body);
+        CHECK(response.status == row.status);
+        CAPTURE(response.body);
+        CHECK(response.body.find(row.text) != std::string::npos);
     }
     notReady.clear();
     CHECK(call((*admin)->address(), "GET", "/readyz").status == 200);
--- a/src/persimmonrail/gateway/tests/crash_quarantine_test.cpp
+++ b/src/persimmonrail/gateway/tests/crash_quarantine_test.cpp
@@ -20,8 +20,8 @@
             added.hooks.atMostOnceBegin = [this](auto, auto key, const auto &, auto) {
                 return begin(*parseIdempotencyKey(key));
             };
-            added.hooks.atMostOnceEnd = [this](auto, auto key, auto outcome, auto answer) {
-                table.end("standin", *parseIdempotencyKey(key), outcome, answer);
+            added.hooks.atMostOnceEnd = [this](auto, auto key, auto outcome, auto response) {
+                table.end("standin", *parseIdempotencyKey(key), outcome, response);
             };
         });
         second = &fleet.add("second", service,
@@ -44,13 +44,13 @@
     }
 
     // Sends a marked request, whose connection the upstream closes, as a crash does.
-    caller_answer crash(const std::string &method, const std::string &uri, const std::string &body,
-                        std::vector<std::string> fields = {})
+    caller_response crash(const std::string &method, const std::string &uri,
+                          const std::string &body, std::vector<std::string> fields = {})
     {
         fields.emplace_back("X-Crash: 1");
-        auto answer = call(first->callers->address(), method, uri, body, fields);
+        auto response = call(first->callers->address(), method, uri, body, fields);
         quarantine.noteCrash(std::chrono::steady_clock::now());
-        return answer;
+        return response;
     }
 
     at_most_once_table table;
--- a/src/persimmonrail/gateway/tests/gateway_test.cpp
+++ b/src/persimmonrail/gateway/tests/gateway_test.cpp
@@ -49,18 +49,18 @@
             CAPTURE(size, ingress->name);
             const std::string bytes = patternOf(size);
             const std::string &address = ingress->callers->address();
-            const caller_answer put = call(address, "PUT", "/standin/records/k", bytes);
+            const caller_response put = call(address, "PUT", "/standin/records/k", bytes);
             CHECK(put.status == 200);
             CHECK(put.outcome == "run");
             CHECK(put.head.get("X-Checksum") == standinChecksum(bytes));
             for (const std::vector<std::string> &fields :
                  {std::vector<std::string>{}, std::vector<std::string>{"X-Chunked: 1"}}) {
-                const caller_answer get = call(address, "GET", "/standin/records/k", "", fields);
+                const caller_response get = call(address, "GET", "/standin/records/k", "", fields);
                 CHECK(get.outcome == "run");
                 CHECK(get.head.get(requestIdHeader).size() == 32);
                 CHECK((get.body == bytes));
             }
-            const caller_answer head = call(address, "HEAD", "/standin/records/k");
+            const caller_response head = call(address, "HEAD", "/standin/records/k");
             CHECK(head.status == 404);
         }
     }
@@ -111,13 +111,13 @@
     };
     for (const auto &row : table) {
         CAPTURE(row.method, row.uri, row.reason);
-        const caller_answer answer =
+        const caller_response response =
             call(owner.callers->address(), row.method, row.uri, "", row.fields);
-        CHECK(answer.status == row.status);
-        CHECK(answer.outcome == "not-run");
-        CHECK(answer.reason == row.reason);
-        CHECK(answer.head.get(requestIdHeader).size() == 32);
-        CHECK(answer.body.find(row.reason) != std::string::npos);
+        CHECK(response.status == row.status);
+        CHECK(response.outcome == "not-run");
+        CHECK(response.reason == row.reason);
+        CHECK(response.head.get(requestIdHeader).size() == 32);
+        CHECK(response.body.find(row.reason) != std::string::npos);
     }
     CHECK(runs(owner) == 0);
 }
@@ -148,10 +148,10 @@
         if (row.ownerRefuses) {
             fleet.setPeerAddress("first", refusingAddress());
         }
-        const caller_answer answer = call(ingress.callers->address(), "POST", "/standin/records/k",
-                                          "body", {idempotencyField});
-        CHECK(answer.outcome == "run");
-        CHECK(answer.body == "1");
+        const caller_response response = call(ingress.callers->address(), "POST",
+                                              "/standin/records/k", "body", {idempotencyField});
+        CHECK(response.outcome == "run");
+        CHECK(response.body == "1");
         CHECK(runs(first) == 0);
         CHECK(runs(second) == 1);
     }
@@ -171,11 +171,11 @@
     fleet.place("frozen", {"standby"});
     const Poco::Net::ServerSocket silent(Poco::Net::SocketAddress("127.0.0.1", 0));
     fleet.setPeerAddress("frozen", silent.address().toString());
-    const caller_answer put =
+    const caller_response put =
         call(ingress.callers->address(), "PUT", "/standin/records/k", "record");
     CHECK(put.outcome == "run");
     // The silent peer is remembered, so the next request does not connect to it.
-    const caller_answer get = call(ingress.callers->address(), "GET", "/standin/records/k");
+    const caller_response get = call(ingress.callers->address(), "GET", "/standin/records/k");
     CHECK(get.outcome == "run");
     CHECK(get.body == "record");
 }
@@ -193,11 +193,12 @@
         });
         auto &ingress = fleet.add("ingress", "");
         fleet.place("owner");
-        const caller_answer answer = call(ingress.callers->address(), "GET", "/standin/records/k");
-        CHECK(answer.outcome == (appears ? "run" : "not-run"));
-        CHECK(answer.status == (appears ? 404 : 503));
-        CHECK(answer.reason == (appears ? "" : "not-owner"));
-        CHECK(answer.head.has("Retry-After") != appears);
+        const caller_response response =
+            call(ingress.callers->address(), "GET", "/standin/records/k");
+        CHECK(response.outcome == (appears ? "run" : "not-run"));
+        CHECK(response.status == (appears ? 404 : 503));
+        CHECK(response.reason == (appears ? "" : "not-owner"));
+        CHECK(response.head.has("Retry-After") != appears);
         CHECK(runs(owner) == (appears ? 1 : 0));
     }
 }
@@ -216,18 +217,18 @@
             CAPTURE(ingress->name, cut);
             const std::string &address = ingress->callers->address();
             REQUIRE(call(address, "PUT", "/standin/records/k", bytes).status == 200);
-            const caller_answer answer = call(address, "GET", "/standin/records/k", "",
-                                              {"X-Truncate: " + std::to_string(cut)});
-            if (answer.outcome == "run") {
+            const caller_response response = call(address, "GET", "/standin/records/k", "",
+                                                  {"X-Truncate: " + std::to_string(cut)});
+            if (response.outcome == "run") {
                 // The head had gone out already; the framing shows that the body is not whole.
-                CHECK_FALSE(answer.whole);
-                CHECK(answer.body.size() <= cut);
+                CHECK_FALSE(response.whole);
+                CHECK(response.body.size() <= cut);
             } else {
-                CHECK(answer.outcome == "unknown");
-                CHECK(answer.status == 502);
-                CHECK(answer.reason == "truncated-answer");
+                CHECK(response.outcome == "unknown");
+                CHECK(response.status == 502);
+                CHECK(response.reason == "truncated-answer");
             }
-            CHECK((answer.outcome == "run") == (cut > bodyPieceBytes));
+            CHECK((response.outcome == "run") == (cut > bodyPieceBytes));
         }
     }
 }
@@ -245,10 +246,11 @@
     owner.standin->setFaults(faults);
     for (const auto *ingress : {&owner, &other}) {
         CAPTURE(ingress->name);
-        const caller_answer answer = call(ingress->callers->address(), "GET", "/standin/records/k");
-        CHECK(answer.outcome == "unknown");
-        CHECK(answer.status == 504);
-        CHECK(answer.reason == "deadline-exceeded");
+        const caller_response response =
+            call(ingress->callers->address(), "GET", "/standin/records/k");
+        CHECK(response.outcome == "unknown");
+        CHECK(response.status == 504);
+        CHECK(response.reason == "deadline-exceeded");
     }
     owner.standin->setFaults({});
 }
@@ -281,12 +283,12 @@
     second.holdsLease = true;
     fleet.place("first", {"second"});
     const std::string bytes = patternOf(3 * 1024 * 1024);
-    const caller_answer answer =
+    const caller_response response =
         call(ingress.callers->address(), "PUT", "/standin/records/k", bytes);
-    CHECK(answer.outcome == "run");
+    CHECK(response.outcome == "run");
     CHECK(runs(first) == 0);
     CHECK(runs(second) == 1);
-    CHECK(answer.head.get("X-Checksum") == standinChecksum(bytes));
+    CHECK(response.head.get("X-Checksum") == standinChecksum(bytes));
 
     Poco::Net::StreamSocket caller{Poco::Net::SocketAddress(second.callers->address())};
     sendText(caller,
@@ -317,7 +319,7 @@
     });
     REQUIRE(owner.standin->waitFor([](const auto &all) { return !all.empty(); }, generous));
     for (const auto *ingress : {&owner, &other}) {
-        const caller_answer refused =
+        const caller_response refused =
             call(ingress->callers->address(), "GET", "/standin/records/k");
         CHECK(refused.status == 429);
         CHECK(refused.outcome == "not-run");
@@ -394,9 +396,9 @@
     auto &owner = fleet.add("owner", "standin", [&](test_fleet::daemon &daemon) {
         daemon.hooks.atMostOnceBegin = [&](auto, auto, const auto &, auto) { return next; };
         daemon.hooks.atMostOnceEnd = [&](auto, auto, request_outcome outcome,
-                                         const std::shared_ptr<const kept_answer> &answer) {
-            ended.emplace_back(outcome, answer != nullptr);
-            next = {at_most_once_verdict::action::Replay, answer, {}, ""};
+                                         const std::shared_ptr<const stored_response> &response) {
+            ended.emplace_back(outcome, response != nullptr);
+            next = {at_most_once_verdict::action::Replay, response, {}, ""};
         };
     });
     owner.holdsLease = true;
@@ -407,10 +409,10 @@
         return call(owner.callers->address(), "POST", "/standin/records/k", "", fields);
     };
     for (int i = 0; i < 2; ++i) {
-        const caller_answer answer = post();
-        CHECK(answer.outcome == "run");
-        CHECK(answer.body == "1");
-        CHECK(answer.head.get("X-Checksum") == standinChecksum("1"));
+        const caller_response response = post();
+        CHECK(response.outcome == "run");
+        CHECK(response.body == "1");
+        CHECK(response.head.get("X-Checksum") == standinChecksum("1"));
     }
     CHECK(runs(owner) == 1);
     next = {at_most_once_verdict::action::Refuse, nullptr, request_outcome::Unknown,
@@ -462,10 +464,10 @@
     });
     fleet.place("owner");
     owner.standin->setCrash([] {});
-    const caller_answer answer =
+    const caller_response response =
         call(owner.callers->address(), "GET", "/standin/records/k", "", {"X-Crash: 1"});
-    CHECK(answer.outcome == "unknown");
-    CHECK(answer.status == 502);
+    CHECK(response.outcome == "unknown");
+    CHECK(response.status == 502);
     CHECK(runs(owner) >= 1);
     CHECK(lookups > 1);
 }
--- a/src/persimmonrail/gateway/tests/test_fleet.cpp
+++ b/src/persimmonrail/gateway/tests/test_fleet.cpp
@@ -80,8 +80,8 @@
     if (change) {
         change(added);
     }
-    added.path = std::make_unique<request_path>(added.options, added.hooks, added.guard, added.log,
-                                                added.counters);
+    added.path = std::make_unique<request_router>(added.options, added.hooks, added.upstreamClient,
+                                                  added.log, added.counters);
     added.callers = *caller_server::listen({}, *added.path);
     added.peers = *peer_server::listen({}, *added.path);
     if (!service.empty()) {
@@ -92,8 +92,9 @@
         added.standin = *upstream_standin::start(options);
         const steady_time now = std::chrono::steady_clock::now();
         // Valid for the whole test, since nothing renews the announcement.
-        REQUIRE(added.guard.announce(added.standin->announcement(), now + generous).ok());
-        REQUIRE(added.guard.pushGrants({{"standin/all", testTerm, {0, UINT64_MAX}}}, generous, now)
+        REQUIRE(added.upstreamClient.announce(added.standin->announcement(), now + generous).ok());
+        REQUIRE(added.upstreamClient
+                    .pushGrants({{"standin/all", testTerm, {0, UINT64_MAX}}}, generous, now)
                     .ok());
     }
     member_record member;
@@ -121,8 +122,8 @@
     publish();
 }
 
-caller_answer call(const std::string &address, const std::string &method, const std::string &uri,
-                   const std::string &body, const std::vector<std::string> &fields)
+caller_response call(const std::string &address, const std::string &method, const std::string &uri,
+                     const std::string &body, const std::vector<std::string> &fields)
 {
     Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(address)};
     session.setTimeout(Poco::Timespan(60, 0));
@@ -132,16 +133,16 @@
         request.add(field.substr(0, colon), field.substr(colon + 2));
     }
     request.setContentLength(static_cast<std::streamsize>(body.size()));
-    caller_answer answer;
+    caller_response response;
     session.sendRequest(request) << body << std::flush;
-    std::istream &input = session.receiveResponse(answer.head);
-    Poco::StreamCopier::copyToString(input, answer.body);
-    answer.status = answer.head.getStatus();
-    answer.outcome = answer.head.get(outcomeHeader, "");
-    answer.reason = answer.head.get(reasonHeader, "");
-    answer.whole =
-        answer.head.getContentLength() == static_cast<std::streamsize>(answer.body.size());
-    return answer;
+    std::istream &input = session.receiveResponse(response.head);
+    Poco::StreamCopier::copyToString(input, response.body);
+    response.status = response.head.getStatus();
+    response.outcome = response.head.get(outcomeHeader, "");
+    response.reason = response.head.get(reasonHeader, "");
+    response.whole =
+        response.head.getContentLength() == static_cast<std::streamsize>(response.body.size());
+    return response;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/tests/test_fleet.h
+++ b/src/persimmonrail/gateway/tests/test_fleet.h
@@ -27,12 +27,12 @@
         std::function<void()> onLookup;
         std::string holderHint;
         gateway_hooks hooks;
-        request_path_options options;
+        request_router_options options;
         std::unique_ptr<upstream_standin> standin;
-        upstream_guard guard{{}};
+        upstream_client upstreamClient{{}};
         decision_log log{{log_level::Off, ""}};
         metrics counters;
-        std::unique_ptr<request_path> path;
+        std::unique_ptr<request_router> path;
         std::unique_ptr<caller_server> callers;
         std::unique_ptr<peer_server> peers;
     };
@@ -60,7 +60,7 @@
     std::vector<std::unique_ptr<daemon>> m_daemons;
 };
 
-struct caller_answer
+struct caller_response
 {
     int status = 0;
     std::string outcome;
@@ -72,8 +72,8 @@
 };
 
 // Sends a request with Poco's own HTTP client, as a caller would. Fields are "Name: value".
-caller_answer call(const std::string &address, const std::string &method, const std::string &uri,
-                   const std::string &body = {}, const std::vector<std::string> &fields = {});
+caller_response call(const std::string &address, const std::string &method, const std::string &uri,
+                     const std::string &body = {}, const std::vector<std::string> &fields = {});
 
 inline constexpr char idempotencyField[] = "Idempotency-Key: 019345ab-cdef-7123-8456-0123456789ab";
 
--- a/src/persimmonrail/http/connection_pool.cpp
+++ b/src/persimmonrail/http/connection_pool.cpp
@@ -52,9 +52,10 @@
     return stream;
 }
 
-absl::StatusOr<connection_pool::connection> connection_pool::take(const std::string &address,
-                                                                  bool repeatable, steady_time now,
-                                                                  steady_time until)
+absl::StatusOr<connection_pool::connection> connection_pool::acquire(const std::string &address,
+                                                                     bool repeatable,
+                                                                     steady_time now,
+                                                                     steady_time until)
 {
     const steady_time since = now - (repeatable ? m_options.idleTime : m_options.freshTime);
     while (std::unique_ptr<http_stream> stream = takeIdle(address, since)) {
@@ -99,7 +100,7 @@
     m_idle.pop_front();
 }
 
-void connection_pool::giveBack(connection connection, steady_time now)
+void connection_pool::release(connection connection, steady_time now)
 {
     connection.stream->watch(nullptr);
     connection.stream->releaseBuffer();
@@ -116,7 +117,7 @@
     }
 }
 
-void connection_pool::drop(const std::string &address)
+void connection_pool::closeIdle(const std::string &address)
 {
     const std::lock_guard lock(m_mutex);
     const auto entry = m_byAddress.find(address);
--- a/src/persimmonrail/http/http_client.cpp
+++ b/src/persimmonrail/http/http_client.cpp
@@ -6,7 +6,7 @@
 namespace persimmonrail {
 namespace {
 
-constexpr int maxInterimAnswers = 8;
+constexpr int maxInterimResponses = 8;
 // Detail of an exchange that `sendBefore` prevented.
 constexpr char leaseEnding[] = "lease ending";
 
@@ -14,7 +14,7 @@
 class attempt
 {
 public:
-    attempt(const client_request &request, http_stream &stream, answer_sink &sink)
+    attempt(const client_request &request, http_stream &stream, response_sink &sink)
         : m_request(request)
         , m_stream(stream)
         , m_sink(sink)
@@ -99,7 +99,7 @@
             return m_silent ? fail(exchange_state::Silent, "connection without progress")
                             : fail(exchange_state::TimedOut, "deadline passed");
         case io_status::Cancelled:
-            return fail(exchange_state::CallerGone, "caller disconnected");
+            return fail(exchange_state::CallerDisconnected, "caller disconnected");
         default:
             return fail(closedState, std::string(toString(status)));
         }
@@ -107,7 +107,7 @@
 
     bool send(std::string_view bytes)
     {
-        while (!bytes.empty() && !m_earlyAnswer) {
+        while (!bytes.empty() && !m_earlyResponse) {
             size_t written = 0;
             const io_status status = withProgress([&](steady_time until) {
                 size_t part = 0;
@@ -119,12 +119,12 @@
             if (status != io_status::Ok) {
                 // The peer may have answered before it closed its side.
                 m_reusable = false;
-                m_earlyAnswer = status == io_status::Closed && m_stream.hasInput();
-                return m_earlyAnswer
+                m_earlyResponse = status == io_status::Closed && m_stream.hasInput();
+                return m_earlyResponse
                     || failIo(status,
-                              m_anySent ? exchange_state::NoAnswer : exchange_state::NotSent);
+                              m_anySent ? exchange_state::NoResponse : exchange_state::NotSent);
             }
-            m_earlyAnswer = written < bytes.size();
+            m_earlyResponse = written < bytes.size();
             bytes.remove_prefix(written);
         }
         return true;
@@ -165,13 +165,13 @@
     // Waits until the peer asks for the body or answers without it.
     bool waitContinue()
     {
-        if (!expectsContinue() || m_earlyAnswer) {
+        if (!expectsContinue() || m_earlyResponse) {
             return true;
         }
         if (!readOneHead()) {
             return false;
         }
-        m_earlyAnswer = m_hasFinalHead = m_result.head.getStatus() >= 200;
+        m_earlyResponse = m_hasFinalHead = m_result.head.getStatus() >= 200;
         return true;
     }
 
@@ -182,7 +182,7 @@
         }
         const bool chunked = m_framing.type == body_framing::kind::Chunked;
         std::string piece;
-        while (!m_earlyAnswer) {
+        while (!m_earlyResponse) {
             const io_status status = untilAbandoned(m_request.deadline, [&](steady_time until) {
                 return m_request.body->read(piece, until);
             });
@@ -194,7 +194,7 @@
                 return status == io_status::TimedOut
                     ? fail(exchange_state::TimedOut, "request body incomplete at the deadline")
                     : fail(status == io_status::Malformed ? exchange_state::BadRequestBody
-                                                          : exchange_state::CallerGone,
+                                                          : exchange_state::CallerDisconnected,
                            "request body broke off");
             }
             if (piece.empty()) {
@@ -211,18 +211,18 @@
     {
         // An answer that arrives before the request was sent completely leaves the connection in
         // the middle of a request.
-        m_reusable = m_reusable && !m_earlyAnswer;
-        for (int interim = 0; interim <= maxInterimAnswers; ++interim) {
+        m_reusable = m_reusable && !m_earlyResponse;
+        for (int interim = 0; interim <= maxInterimResponses; ++interim) {
             if (!m_hasFinalHead && !readOneHead()) {
                 return false;
             }
             if (m_result.head.getStatus() < 200) {
                 continue;
             }
-            if (!m_request.belongs || m_request.belongs(m_result.head)) {
+            if (!m_request.matchesRequest || m_request.matchesRequest(m_result.head)) {
                 return acceptHead();
             }
-            if (!skipForeignAnswer()) {
+            if (!skipMismatchedResponse()) {
                 return false;
             }
         }
@@ -230,20 +230,20 @@
     }
 
     // Reads past an answer to an earlier request. The one to this request may follow.
-    bool skipForeignAnswer()
+    bool skipMismatchedResponse()
     {
         m_reusable = false;
         m_hasFinalHead = false;
-        if (m_answerFraming.type == body_framing::kind::UntilClose) {
+        if (m_responseFraming.type == body_framing::kind::UntilClose) {
             return fail(exchange_state::Truncated, "answer to another request");
         }
-        body_reader reader(m_stream, m_answerFraming);
+        body_reader reader(m_stream, m_responseFraming);
         std::string piece;
         while (!reader.isComplete()) {
             const io_status status =
                 withProgress([&](steady_time until) { return reader.read(piece, until); });
             if (status != io_status::Ok) {
-                return failIo(status, exchange_state::NoAnswer);
+                return failIo(status, exchange_state::NoResponse);
             }
         }
         return true;
@@ -256,31 +256,31 @@
             withProgress([&](steady_time until) { return m_stream.readHead(text, until); });
         m_anyReceived = m_anyReceived || status == io_status::Ok;
         if (status != io_status::Ok) {
-            return failIo(status, m_anySent ? exchange_state::NoAnswer : exchange_state::NotSent);
+            return failIo(status, m_anySent ? exchange_state::NoResponse : exchange_state::NotSent);
         }
         return (parseResponse(text, m_result.head) == io_status::Ok
-                && responseFraming(m_result.head, m_request.message.getMethod(), m_answerFraming)
+                && responseFraming(m_result.head, m_request.message.getMethod(), m_responseFraming)
                     == io_status::Ok)
             || fail(exchange_state::Truncated, "malformed answer head");
     }
 
     bool acceptHead()
     {
-        if (m_answerFraming.type == body_framing::kind::UntilClose) {
+        if (m_responseFraming.type == body_framing::kind::UntilClose) {
             if (!m_request.acceptsUnframed) {
                 return fail(exchange_state::Truncated, "answer without framing");
             }
             m_reusable = false;
         }
         m_reusable = m_reusable && m_result.head.getKeepAlive();
-        m_declined = m_request.wanted && !m_request.wanted(m_result.head);
+        m_declined = m_request.acceptsResponse && !m_request.acceptsResponse(m_result.head);
         removeConnectionFields(m_result.head);
         return true;
     }
 
     void readBody()
     {
-        body_reader reader(m_stream, m_answerFraming);
+        body_reader reader(m_stream, m_responseFraming);
         std::string first;
         std::string piece;
         bool begun = false;
@@ -307,7 +307,7 @@
             }
             first += piece;
             if (first.size() >= bodyPieceBytes && !reader.isComplete()) {
-                begun = m_result.answerStarted = true;
+                begun = m_result.responseStarted = true;
                 if (!m_sink.begin(m_result.head, framingToPass(), first, false)) {
                     return failSink();
                 }
@@ -318,38 +318,38 @@
             m_result.state = exchange_state::Declined;
             return;
         }
-        m_result.answerStarted = true;
+        m_result.responseStarted = true;
         const bool taken =
             begun ? m_sink.finish() : m_sink.begin(m_result.head, framingToPass(), first, true);
         // The answer is whole even if its receiver is gone by now.
         m_result.sinkGone = !taken;
-        m_result.state = exchange_state::Whole;
+        m_result.state = exchange_state::Complete;
     }
 
     // An answer without a length is passed on in chunks, whose end can't be mistaken.
     body_framing framingToPass() const
     {
-        return m_answerFraming.type == body_framing::kind::UntilClose
+        return m_responseFraming.type == body_framing::kind::UntilClose
             ? body_framing{body_framing::kind::Chunked, 0}
-            : m_answerFraming;
+            : m_responseFraming;
     }
 
     void failSink()
     {
         m_reusable = false;
         m_result.sinkGone = true;
-        fail(exchange_state::CallerGone, "caller disconnected");
+        fail(exchange_state::CallerDisconnected, "caller disconnected");
     }
 
     const client_request &m_request;
     http_stream &m_stream;
-    answer_sink &m_sink;
+    response_sink &m_sink;
     body_framing m_framing;
-    body_framing m_answerFraming;
+    body_framing m_responseFraming;
     exchange_result m_result;
     bool m_anySent = false;
     bool m_anyReceived = false;
-    bool m_earlyAnswer = false;
+    bool m_earlyResponse = false;
     bool m_hasFinalHead = false;
     bool m_declined = false;
     bool m_silent = false;
@@ -362,13 +362,13 @@
 std::string_view toString(exchange_state state)
 {
     switch (state) {
-    case exchange_state::Whole:
+    case exchange_state::Complete:
         return "whole";
     case exchange_state::Declined:
         return "declined";
     case exchange_state::NotSent:
         return "not-sent";
-    case exchange_state::NoAnswer:
+    case exchange_state::NoResponse:
         return "no-answer";
     case exchange_state::Truncated:
         return "truncated-answer";
@@ -378,7 +378,7 @@
         return "silent-connection";
     case exchange_state::Abandoned:
         return "lease-ended";
-    case exchange_state::CallerGone:
+    case exchange_state::CallerDisconnected:
         return "caller-disconnected";
     case exchange_state::BadRequestBody:
         return "malformed-request-body";
@@ -390,7 +390,7 @@
     : m_pool(std::move(pool))
 { }
 
-exchange_result http_client::exchange(const client_request &request, answer_sink &sink)
+exchange_result http_client::exchange(const client_request &request, response_sink &sink)
 {
     bool fresh = false;
     bool sentEarlier = false;
@@ -399,14 +399,15 @@
     const auto judge = [&sentEarlier](exchange_result result) {
         result.anySent = result.anySent || sentEarlier;
         if (sentEarlier && result.state == exchange_state::NotSent) {
-            result.state = exchange_state::NoAnswer;
+            result.state = exchange_state::NoResponse;
         }
         return result;
     };
     for (;;) {
-        auto connection = fresh ? m_pool->connect(request.address, request.deadline)
-                                : m_pool->take(request.address, request.repeatable,
-                                               std::chrono::steady_clock::now(), request.deadline);
+        auto connection = fresh
+            ? m_pool->connect(request.address, request.deadline)
+            : m_pool->acquire(request.address, request.repeatable, std::chrono::steady_clock::now(),
+                              request.deadline);
         if (!connection.ok()) {
             exchange_result result;
             result.state = exchange_state::NotSent;
@@ -419,19 +420,19 @@
         exchange_result result = current.run();
         const bool closedEarly = !current.anyReceived()
             && (result.state == exchange_state::NotSent
-                || result.state == exchange_state::NoAnswer);
+                || result.state == exchange_state::NoResponse);
         const bool mayResend = !result.anySent || request.repeatable;
         if (connection->reused && closedEarly && mayResend && !result.leaseEnding
             && !result.deadlinePassed && (request.body == nullptr || request.body->rewind())) {
-            m_pool->drop(request.address);
+            m_pool->closeIdle(request.address);
             fresh = true;
             sentEarlier = result.anySent;
             continue;
         }
         const bool ended =
-            result.state == exchange_state::Whole || result.state == exchange_state::Declined;
+            result.state == exchange_state::Complete || result.state == exchange_state::Declined;
         if (ended && current.isReusable()) {
-            m_pool->giveBack(std::move(*connection), std::chrono::steady_clock::now());
+            m_pool->release(std::move(*connection), std::chrono::steady_clock::now());
         }
         return judge(std::move(result));
     }
--- a/src/persimmonrail/http/http_client.h
+++ b/src/persimmonrail/http/http_client.h
@@ -50,13 +50,13 @@
     // Returns an idle connection that its peer has not closed, or connects. `repeatable` tells
     // about the request to be sent. Errors: FailedPrecondition if the connection is refused,
     // Unavailable if it can't be made in time.
-    absl::StatusOr<connection> take(const std::string &address, bool repeatable, steady_time now,
-                                    steady_time until);
+    absl::StatusOr<connection> acquire(const std::string &address, bool repeatable, steady_time now,
+                                       steady_time until);
     absl::StatusOr<connection> connect(const std::string &address, steady_time until);
     // Returns a connection on which an exchange ended regularly.
-    void giveBack(connection connection, steady_time now);
+    void release(connection connection, steady_time now);
     // Closes the idle connections to an address.
-    void drop(const std::string &address);
+    void closeIdle(const std::string &address);
     size_t idleCount() const;
 
 private:
@@ -91,15 +91,15 @@
 };
 
 // Receives an answer. Implementations need not be thread safe.
-class answer_sink
+class response_sink
 {
 public:
-    virtual ~answer_sink() = default;
-    // Called once, when either the whole body or its first bodyPieceBytes have arrived. If `whole`
-    // is set, `first` is the whole body and neither write() nor finish() follows. Returns false if
-    // the receiver is gone.
+    virtual ~response_sink() = default;
+    // Called once, when either the whole body or its first bodyPieceBytes have arrived. If
+    // `isComplete` is set, `first` is the whole body and neither write() nor finish() follows.
+    // Returns false if the receiver is gone.
     virtual bool begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
-                       std::string_view first, bool whole) = 0;
+                       std::string_view first, bool isComplete) = 0;
     virtual bool write(std::string_view piece) = 0;
     // Called once the answer is known to be complete.
     virtual bool finish() = 0;
@@ -107,13 +107,13 @@
 
 enum class exchange_state {
     // The whole answer went to the sink.
-    Whole,
-    // The answer came, but `wanted` declined it; the sink got nothing.
+    Complete,
+    // The answer came, but `acceptsResponse` declined it; the sink got nothing.
     Declined,
     // No byte of the request was sent.
     NotSent,
     // Bytes of the request were sent, and no whole head of an answer came.
-    NoAnswer,
+    NoResponse,
     // The answer ended before its framing says, violated it, or has none.
     Truncated,
     TimedOut,
@@ -122,7 +122,7 @@
     // The time of abandonAt has come.
     Abandoned,
     // The caller's connection closed, or its request body broke off.
-    CallerGone,
+    CallerDisconnected,
     // The request body was not valid HTTP.
     BadRequestBody,
 };
@@ -161,9 +161,9 @@
     // Returns whether an answer belongs to this request. One that does not is an extra answer to an
     // earlier request on the connection: it is skipped, and the connection not used again. All
     // belong if it is empty.
-    std::function<bool(const Poco::Net::HTTPResponse &head)> belongs;
+    std::function<bool(const Poco::Net::HTTPResponse &head)> matchesRequest;
     // Returns whether the answer is to be passed to the sink; all are if it is empty.
-    std::function<bool(const Poco::Net::HTTPResponse &head)> wanted;
+    std::function<bool(const Poco::Net::HTTPResponse &head)> acceptsResponse;
 };
 
 struct exchange_result
@@ -177,7 +177,7 @@
     // Whether the last connection was refused, so that no process listens at the address.
     bool connectionRefused = false;
     // Whether the sink has been called.
-    bool answerStarted = false;
+    bool responseStarted = false;
     // Whether the sink reported that its receiver is gone.
     bool sinkGone = false;
     // Valid if state is Whole or Declined.
@@ -193,14 +193,14 @@
 public:
     http_client(std::shared_ptr<connection_pool> pool);
 
-    exchange_result exchange(const client_request &request, answer_sink &sink);
+    exchange_result exchange(const client_request &request, response_sink &sink);
 
 private:
     std::shared_ptr<connection_pool> m_pool;
 };
 
 // A whole answer held in memory, for control requests.
-struct simple_answer
+struct simple_response
 {
     int status = 0;
     std::string body;
@@ -208,8 +208,8 @@
 
 // Sends a small request and reads an answer of at most 1 MB. Errors: Unavailable if the request
 // was not sent, Unknown if it may have been received and no whole answer came.
-absl::StatusOr<simple_answer> simpleRequest(http_client &client, const std::string &address,
-                                            const std::string &method, const std::string &uri,
-                                            const std::string &body, steady_time deadline);
+absl::StatusOr<simple_response> simpleRequest(http_client &client, const std::string &address,
+                                              const std::string &method, const std::string &uri,
+                                              const std::string &body, steady_time deadline);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/http/http_server.cpp
+++ b/src/persimmonrail/http/http_server.cpp
@@ -42,10 +42,10 @@
 constexpr int threadIdleSeconds = 2;
 
 // Answer to a connection beyond the limit, of which no request is read.
-std::string overloadAnswer()
+std::string overloadResponse()
 {
-    const std::string id = absl::StrCat(absl::Hex(drawIncarnation(), absl::kZeroPad16),
-                                        absl::Hex(drawIncarnation(), absl::kZeroPad16));
+    const std::string id = absl::StrCat(absl::Hex(generateIncarnation(), absl::kZeroPad16),
+                                        absl::Hex(generateIncarnation(), absl::kZeroPad16));
     const std::string body = absl::StrCat(
         R"({"outcome":"not-run","reason":"too-many-connections","request_id":")", id, R"("})");
     return absl::StrCat("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n", outcomeHeader,
@@ -61,8 +61,8 @@
     try {
         Poco::Net::StreamSocket copy(socket);
         copy.setBlocking(false);
-        const std::string answer = overloadAnswer();
-        copy.sendBytes(answer.data(), static_cast<int>(answer.size()));
+        const std::string response = overloadResponse();
+        copy.sendBytes(response.data(), static_cast<int>(response.size()));
         copy.shutdownSend();
     } catch (const Poco::Exception &) {
         // The requester is gone already.
@@ -393,11 +393,11 @@
     void refuse(http_stream &stream, int status, const std::string &reason) const
     {
         server_exchange exchange(stream, Poco::Net::HTTPRequest(), {}, options.idleTimeout);
-        exchange.closeAfterAnswer();
+        exchange.closeAfterResponse();
         if (m_onError) {
             m_onError(exchange, status, reason);
         } else {
-            exchange.answer(status, reason + "\n", "text/plain");
+            exchange.respond(status, reason + "\n", "text/plain");
         }
     }
 
--- a/src/persimmonrail/http/http_server.h
+++ b/src/persimmonrail/http/http_server.h
@@ -35,17 +35,17 @@
     io_status readAll(std::string &body, size_t maxBytes, steady_time until);
 
     // Sends a whole answer. False if the requester is gone.
-    bool answer(Poco::Net::HTTPResponse &head, std::string_view body);
-    bool answer(int status, std::string_view body, const std::string &contentType);
-    // Sends a streamed answer: beginAnswer, any number of writeAnswer, endAnswer. An answer that
-    // is not ended makes the server close the connection, so the requester notices.
-    bool beginAnswer(Poco::Net::HTTPResponse &head, const body_framing &framing);
-    bool writeAnswer(std::string_view piece);
-    bool endAnswer();
-
-    bool answerStarted() const { return m_answerStarted; }
+    bool respond(Poco::Net::HTTPResponse &head, std::string_view body);
+    bool respond(int status, std::string_view body, const std::string &contentType);
+    // Sends a streamed answer: beginResponse, any number of writeResponse, endResponse. An answer
+    // that is not ended makes the server close the connection, so the requester notices.
+    bool beginResponse(Poco::Net::HTTPResponse &head, const body_framing &framing);
+    bool writeResponse(std::string_view piece);
+    bool endResponse();
+
+    bool responseStarted() const { return m_responseStarted; }
     // Closes the connection after the answer.
-    void closeAfterAnswer() { m_keepAlive = false; }
+    void closeAfterResponse() { m_keepAlive = false; }
     // Whether another request may follow on the connection; drains the rest of a small body.
     bool finish();
 
@@ -62,10 +62,10 @@
     bool m_replayKept = false;
     bool m_continueSent = false;
     bool m_keepAlive;
-    bool m_answerStarted = false;
-    bool m_answerEnded = false;
-    body_framing m_answerFraming;
-    uint64_t m_answerBytes = 0;
+    bool m_responseStarted = false;
+    bool m_responseEnded = false;
+    body_framing m_responseFraming;
+    uint64_t m_responseBytes = 0;
 };
 
 struct http_server_options
--- a/src/persimmonrail/http/server_exchange.cpp
+++ b/src/persimmonrail/http/server_exchange.cpp
@@ -107,22 +107,22 @@
     return true;
 }
 
-bool server_exchange::answer(Poco::Net::HTTPResponse &head, std::string_view body)
+bool server_exchange::respond(Poco::Net::HTTPResponse &head, std::string_view body)
 {
-    return beginAnswer(head, {body_framing::kind::Length, body.size()}) && writeAnswer(body)
-        && endAnswer();
+    return beginResponse(head, {body_framing::kind::Length, body.size()}) && writeResponse(body)
+        && endResponse();
 }
 
-bool server_exchange::answer(int status, std::string_view body, const std::string &contentType)
+bool server_exchange::respond(int status, std::string_view body, const std::string &contentType)
 {
     Poco::Net::HTTPResponse head(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(status));
     head.setContentType(contentType);
-    return answer(head, body);
+    return respond(head, body);
 }
 
-bool server_exchange::beginAnswer(Poco::Net::HTTPResponse &head, const body_framing &framing)
+bool server_exchange::beginResponse(Poco::Net::HTTPResponse &head, const body_framing &framing)
 {
-    m_answerStarted = true;
+    m_responseStarted = true;
     // A small body that was not read is discarded, so that the connection can be used again.
     if (!m_reader.isComplete() && m_reader.framing().type == body_framing::kind::Length
         && m_reader.framing().length <= bodyPieceBytes && !m_request.getExpectContinue()) {
@@ -135,11 +135,11 @@
     head.setVersion(Poco::Net::HTTPMessage::HTTP_1_1);
     head.setKeepAlive(m_keepAlive);
     const int status = head.getStatus();
-    m_answerFraming = framing;
+    m_responseFraming = framing;
     if (m_request.getMethod() == Poco::Net::HTTPRequest::HTTP_HEAD || status == 204
         || status == 304) {
         // The fields describe the body that a GET would have got.
-        m_answerFraming = {};
+        m_responseFraming = {};
     } else {
         setFraming(head, framing);
     }
@@ -148,29 +148,29 @@
     return send(text.str());
 }
 
-bool server_exchange::writeAnswer(std::string_view piece)
+bool server_exchange::writeResponse(std::string_view piece)
 {
-    if (piece.empty() || m_answerFraming.type == body_framing::kind::None) {
+    if (piece.empty() || m_responseFraming.type == body_framing::kind::None) {
         return true;
     }
-    m_answerBytes += piece.size();
-    return m_answerFraming.type == body_framing::kind::Chunked ? send(frameChunk(piece))
-                                                               : send(piece);
+    m_responseBytes += piece.size();
+    return m_responseFraming.type == body_framing::kind::Chunked ? send(frameChunk(piece))
+                                                                 : send(piece);
 }
 
-bool server_exchange::endAnswer()
+bool server_exchange::endResponse()
 {
-    if (m_answerFraming.type == body_framing::kind::Chunked && !send(lastChunk)) {
+    if (m_responseFraming.type == body_framing::kind::Chunked && !send(lastChunk)) {
         return false;
     }
-    m_answerEnded = m_answerFraming.type != body_framing::kind::Length
-        || m_answerBytes == m_answerFraming.length;
-    return m_answerEnded;
+    m_responseEnded = m_responseFraming.type != body_framing::kind::Length
+        || m_responseBytes == m_responseFraming.length;
+    return m_responseEnded;
 }
 
 bool server_exchange::finish()
 {
-    return m_answerEnded && m_keepAlive && m_reader.isComplete();
+    return m_responseEnded && m_keepAlive && m_reader.isComplete();
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/http/simple_request.cpp
+++ b/src/persimmonrail/http/simple_request.cpp
@@ -3,7 +3,7 @@
 namespace persimmonrail {
 namespace {
 
-constexpr size_t maxSimpleAnswerBytes = 1024 * 1024;
+constexpr size_t maxSimpleResponseBytes = 1024 * 1024;
 
 class memory_body : public body_source
 {
@@ -29,7 +29,7 @@
     bool m_read = false;
 };
 
-class memory_sink : public answer_sink
+class memory_sink : public response_sink
 {
 public:
     bool begin(const Poco::Net::HTTPResponse &, const body_framing &, std::string_view first,
@@ -41,7 +41,7 @@
     bool write(std::string_view piece) override
     {
         m_body += piece;
-        return m_body.size() <= maxSimpleAnswerBytes;
+        return m_body.size() <= maxSimpleResponseBytes;
     }
     bool finish() override { return true; }
     std::string take() { return std::move(m_body); }
@@ -52,9 +52,9 @@
 
 } // namespace
 
-absl::StatusOr<simple_answer> simpleRequest(http_client &client, const std::string &address,
-                                            const std::string &method, const std::string &uri,
-                                            const std::string &body, steady_time deadline)
+absl::StatusOr<simple_response> simpleRequest(http_client &client, const std::string &address,
+                                              const std::string &method, const std::string &uri,
+                                              const std::string &body, steady_time deadline)
 {
     client_request request;
     request.address = address;
@@ -69,8 +69,8 @@
     }
     memory_sink sink;
     const exchange_result result = client.exchange(request, sink);
-    if (result.state == exchange_state::Whole) {
-        return simple_answer{result.head.getStatus(), sink.take()};
+    if (result.state == exchange_state::Complete) {
+        return simple_response{result.head.getStatus(), sink.take()};
     }
     const std::string message = std::string(toString(result.state)) + ": " + result.detail;
     return result.state == exchange_state::NotSent ? absl::UnavailableError(message)
--- a/src/persimmonrail/http/tests/http_test.cpp
+++ b/src/persimmonrail/http/tests/http_test.cpp
@@ -26,14 +26,14 @@
     return std::chrono::steady_clock::now() + time;
 }
 
-class recording_sink : public answer_sink
+class recording_sink : public response_sink
 {
 public:
     bool begin(const Poco::Net::HTTPResponse &, const body_framing &, std::string_view first,
-               bool whole) override
+               bool isComplete) override
     {
         body = first;
-        finished = whole;
+        finished = isComplete;
         return true;
     }
     bool write(std::string_view piece) override
@@ -65,10 +65,10 @@
     auto server = http_server::listen(options, [](server_exchange &exchange) {
         std::string body;
         if (exchange.readAll(body, 16 * 1024 * 1024, after(generous)) == io_status::Ok) {
-            exchange.answer(200, body, "text/plain");
+            exchange.respond(200, body, "text/plain");
         } else {
-            exchange.closeAfterAnswer();
-            exchange.answer(400, "", "text/plain");
+            exchange.closeAfterResponse();
+            exchange.respond(400, "", "text/plain");
         }
     });
     REQUIRE(server.ok());
@@ -127,8 +127,8 @@
     };
     for (const auto &row : table) {
         CAPTURE(row.name);
-        const std::string answer = exchangeBytes(server->address(), row.bytes);
-        CHECK(answer.substr(0, 12) == row.status);
+        const std::string response = exchangeBytes(server->address(), row.bytes);
+        CHECK(response.substr(0, 12) == row.status);
     }
     std::mt19937 random(11);
     for (int i = 0; i < 50; ++i) {
@@ -147,17 +147,17 @@
     struct
     {
         const char *name;
-        std::string answer;
+        std::string response;
         exchange_state state;
         const char *body;
     } const table[] = {
-        {"length", ok + "Content-Length: 5\r\n\r\nhello", exchange_state::Whole, "hello"},
-        {"empty", ok + "Content-Length: 0\r\n\r\n", exchange_state::Whole, ""},
+        {"length", ok + "Content-Length: 5\r\n\r\nhello", exchange_state::Complete, "hello"},
+        {"empty", ok + "Content-Length: 0\r\n\r\n", exchange_state::Complete, ""},
         {"chunks",
          ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=1\r\nllo\r\n0\r\nT: 1\r\n\r\n",
-         exchange_state::Whole, "hello"},
+         exchange_state::Complete, "hello"},
         {"interim answer", "HTTP/1.1 102 Processing\r\n\r\n" + ok + "Content-Length: 2\r\n\r\nok",
-         exchange_state::Whole, "ok"},
+         exchange_state::Complete, "ok"},
         {"short length", ok + "Content-Length: 6\r\n\r\nhello", exchange_state::Truncated, ""},
         {"cut in chunk", ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nhel",
          exchange_state::Truncated, ""},
@@ -166,22 +166,22 @@
         {"cut in last chunk", ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n",
          exchange_state::Truncated, ""},
         {"no framing", ok + "\r\nhello", exchange_state::Truncated, ""},
-        {"cut in head", ok + "Content-Le", exchange_state::NoAnswer, ""},
+        {"cut in head", ok + "Content-Le", exchange_state::NoResponse, ""},
         {"no HTTP", "what?\r\n\r\n", exchange_state::Truncated, ""},
-        {"nothing", "", exchange_state::NoAnswer, ""},
+        {"nothing", "", exchange_state::NoResponse, ""},
     };
     for (const auto &row : table) {
         CAPTURE(row.name);
         scripted_server server([&](Poco::Net::StreamSocket &socket, int) {
             readHeadText(socket);
-            sendText(socket, row.answer);
+            sendText(socket, row.response);
         });
         http_client client(std::make_shared<connection_pool>());
         recording_sink sink;
         const exchange_result result = client.exchange(requestTo(server.address()), sink);
         CHECK(toString(result.state) == toString(row.state));
         CHECK(sink.body == row.body);
-        CHECK(sink.finished == (row.state == exchange_state::Whole));
+        CHECK(sink.finished == (row.state == exchange_state::Complete));
     }
 }
 
@@ -196,9 +196,9 @@
         bool closeWhileIdle;
         exchange_state state;
     } const table[] = {
-        {"repeatable", true, false, exchange_state::Whole},
-        {"not repeatable", false, false, exchange_state::NoAnswer},
-        {"closed before anything was sent", false, true, exchange_state::Whole},
+        {"repeatable", true, false, exchange_state::Complete},
+        {"not repeatable", false, false, exchange_state::NoResponse},
+        {"closed before anything was sent", false, true, exchange_state::Complete},
     };
     for (const auto &row : table) {
         CAPTURE(row.name);
@@ -217,13 +217,13 @@
         recording_sink sink;
         client_request request = requestTo(server.address());
         request.repeatable = row.repeatable;
-        REQUIRE(client.exchange(request, sink).state == exchange_state::Whole);
+        REQUIRE(client.exchange(request, sink).state == exchange_state::Complete);
         REQUIRE(pool->idleCount() == 1);
         if (row.closeWhileIdle) {
             server.waitClosed(1);
         }
         CHECK(toString(client.exchange(request, sink).state) == toString(row.state));
-        CHECK(server.connectionCount() == (row.state == exchange_state::Whole ? 2 : 1));
+        CHECK(server.connectionCount() == (row.state == exchange_state::Complete ? 2 : 1));
     }
 }
 
@@ -263,17 +263,17 @@
     recording_sink sink;
     client_request request = requestTo(body.server->address());
     request.repeatable = true;
-    REQUIRE(client.exchange(request, sink).state == exchange_state::Whole);
+    REQUIRE(client.exchange(request, sink).state == exchange_state::Complete);
     request.body = &body;
-    CHECK(toString(client.exchange(request, sink).state) == toString(exchange_state::NoAnswer));
+    CHECK(toString(client.exchange(request, sink).state) == toString(exchange_state::NoResponse));
 }
 
 // Guards against waiting for a silent peer beyond the deadline, and against giving up a peer that
 // is merely slow.
 TEST_CASE("a silent connection ends at the deadline or by the probe", "[http]")
 {
-    for (const bool probeAnswers : {false, true}) {
-        CAPTURE(probeAnswers);
+    for (const bool probeResponds : {false, true}) {
+        CAPTURE(probeResponds);
         scripted_server server([](Poco::Net::StreamSocket &socket, int) {
             readHeadText(socket);
             readHeadText(socket);
@@ -281,11 +281,11 @@
         http_client client(std::make_shared<connection_pool>());
         recording_sink sink;
         client_request request = requestTo(server.address());
-        request.deadline = after(probeAnswers ? generous : 100ms);
+        request.deadline = after(probeResponds ? generous : 100ms);
         request.progressTimeout = 20ms;
-        request.probe = [probeAnswers] { return probeAnswers; };
+        request.probe = [probeResponds] { return probeResponds; };
         const exchange_state expected =
-            probeAnswers ? exchange_state::Silent : exchange_state::TimedOut;
+            probeResponds ? exchange_state::Silent : exchange_state::TimedOut;
         CHECK(toString(client.exchange(request, sink).state) == toString(expected));
     }
 }
@@ -300,11 +300,11 @@
     options.maxIdle = 2;
     connection_pool pool(options);
     const steady_time start = std::chrono::steady_clock::now();
-    const auto giveBack = [&](int count, steady_time now) {
+    const auto release = [&](int count, steady_time now) {
         for (int i = 0; i < count; ++i) {
             auto connection = pool.connect(server.address(), after(generous));
             REQUIRE(connection.ok());
-            pool.giveBack(*std::move(connection), now);
+            pool.release(*std::move(connection), now);
         }
     };
     struct
@@ -320,18 +320,18 @@
     };
     for (const auto &row : table) {
         CAPTURE(row.age.count(), row.repeatable);
-        pool.drop(server.address());
-        giveBack(1, start);
+        pool.closeIdle(server.address());
+        release(1, start);
         const auto taken =
-            pool.take(server.address(), row.repeatable, start + row.age, after(generous));
+            pool.acquire(server.address(), row.repeatable, start + row.age, after(generous));
         REQUIRE(taken.ok());
         CHECK(taken->reused == row.reused);
         CHECK(pool.idleCount() == (row.reused ? 0 : 1));
     }
-    pool.drop(server.address());
-    giveBack(3, start);
+    pool.closeIdle(server.address());
+    release(3, start);
     CHECK(pool.idleCount() == 2);
-    giveBack(1, start + 10s);
+    release(1, start + 10s);
     CHECK(pool.idleCount() == 1);
 }
 
@@ -387,7 +387,7 @@
         request.message = exchange.request();
         recording_sink sink;
         client.exchange(request, sink);
-        exchange.answer(200, "", "text/plain");
+        exchange.respond(200, "", "text/plain");
     });
     REQUIRE(server.ok());
     const std::string field = "X-Odd: =?us-ascii?Q?a=0D=0APersimmonrail-Term:_9?=\r\n";
@@ -408,13 +408,13 @@
         step = 1;
         changed.notify_all();
         changed.wait(lock, [&] { return step == 2; });
-        exchange.answer(200, "whole", "text/plain");
+        exchange.respond(200, "whole", "text/plain");
     });
     REQUIRE(server.ok());
     const std::string address = (*server)->address();
-    std::string answer;
+    std::string response;
     std::thread caller(
-        [&] { answer = exchangeBytes(address, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); });
+        [&] { response = exchangeBytes(address, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); });
     {
         std::unique_lock lock(mutex);
         changed.wait(lock, [&] { return step == 1; });
@@ -431,7 +431,7 @@
     }
     CHECK((*server)->waitClosed(after(generous)));
     caller.join();
-    CHECK(answer.substr(answer.size() - 5) == "whole");
+    CHECK(response.substr(response.size() - 5) == "whole");
 }
 
 // Guards against idle connections that keep new ones out.
@@ -516,16 +516,16 @@
 TEST_CASE("requests sent ahead on one connection are answered in order", "[http]")
 {
     const auto server = echoServer();
-    const std::string answer = exchangeBytes(
+    const std::string response = exchangeBytes(
         server->address(),
         "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\none"
         "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ntwo\r\n0\r\n\r\n"
         "POST / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 5\r\n\r\nthree");
-    const size_t one = answer.find("\r\n\r\none");
-    const size_t two = answer.find("\r\n\r\ntwo", one);
+    const size_t one = response.find("\r\n\r\none");
+    const size_t two = response.find("\r\n\r\ntwo", one);
     CHECK(one != std::string::npos);
     CHECK(two != std::string::npos);
-    CHECK(answer.find("\r\n\r\nthree", two) != std::string::npos);
+    CHECK(response.find("\r\n\r\nthree", two) != std::string::npos);
 }
 
 // Guards against requests that are cut by a graceful stop: connections that wait in a queue when
@@ -544,9 +544,9 @@
         sendText(socket,
                  "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n"
                  "Connection: close\r\n\r\nbody");
-        const std::string answer = readToEnd(socket);
-        CHECK(answer.starts_with("HTTP/1.1 200"));
-        CHECK(answer.ends_with("body"));
+        const std::string response = readToEnd(socket);
+        CHECK(response.starts_with("HTTP/1.1 200"));
+        CHECK(response.ends_with("body"));
     }
     CHECK_THROWS_AS(Poco::Net::StreamSocket(address), Poco::Net::ConnectionRefusedException);
 }
--- a/src/persimmonrail/http/tests/unframed_answer_test.cpp
+++ b/src/persimmonrail/http/tests/unframed_response_test.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-class keeping_sink : public answer_sink
+class keeping_sink : public response_sink
 {
 public:
     bool begin(const Poco::Net::HTTPResponse &, const body_framing &passed, std::string_view first,
-               bool isWhole) override
+               bool isComplete) override
     {
         framing = passed;
-        whole = isWhole;
+        whole = isComplete;
         text = first;
         return true;
     }
@@ -44,7 +44,7 @@
     return client.exchange(call, sink);
 }
 
-scripted_server::script answering(size_t bytes, bool reset)
+scripted_server::script responding(size_t bytes, bool reset)
 {
     return [bytes, reset](Poco::Net::StreamSocket &socket, int) {
         readHeadText(socket);
@@ -62,9 +62,9 @@
 TEST_CASE("an answer may end with its connection", "[http]")
 {
     const size_t bytes = GENERATE(5U, 200'000U);
-    scripted_server server(answering(bytes, false));
+    scripted_server server(responding(bytes, false));
     keeping_sink sink;
-    CHECK(request(server.address(), sink, true).state == exchange_state::Whole);
+    CHECK(request(server.address(), sink, true).state == exchange_state::Complete);
     CHECK(sink.whole);
     CHECK(sink.text.size() == bytes);
     CHECK(sink.framing.type == body_framing::kind::Chunked);
@@ -74,15 +74,15 @@
 TEST_CASE("an answer without length whose connection is reset is not whole", "[http]")
 {
     const size_t bytes = GENERATE(5U, 200'000U);
-    scripted_server server(answering(bytes, true));
+    scripted_server server(responding(bytes, true));
     keeping_sink sink;
-    CHECK(request(server.address(), sink, true).state != exchange_state::Whole);
+    CHECK(request(server.address(), sink, true).state != exchange_state::Complete);
     CHECK_FALSE(sink.whole);
 }
 
 TEST_CASE("answers without length are refused unless they are expected", "[http]")
 {
-    scripted_server server(answering(5, false));
+    scripted_server server(responding(5, false));
     keeping_sink sink;
     CHECK(request(server.address(), sink, false).state == exchange_state::Truncated);
 }
--- a/src/persimmonrail/keyspace/range_holder.cpp
+++ b/src/persimmonrail/keyspace/range_lease_manager.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/keyspace/range_holder.h"
+#include "persimmonrail/keyspace/range_lease_manager.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-milliseconds range_lease_timing::longestHold() const
+milliseconds range_lease_timing::maxHold() const
 {
     return holdTime + holdTime * driftPercent / 100;
 }
@@ -19,14 +19,15 @@
 milliseconds range_lease_timing::takeOverAfter() const
 {
     // A grant may be sent at the last moment of the confirmation life and take a while to arrive.
-    return confirmationLife + longestHold() + grantTransit;
+    return confirmationLife + maxHold() + grantTransit;
 }
 
-range_holder::range_holder(range_lease_timing timing)
+range_lease_manager::range_lease_manager(range_lease_timing timing)
     : m_timing(timing)
 { }
 
-void range_holder::onPlacement(const key_placement &placement, boot_time confirmedAt, boot_time now)
+void range_lease_manager::onPlacement(const key_placement &placement, boot_time confirmedAt,
+                                      boot_time now)
 {
     m_placement = placement;
     onConfirmed(confirmedAt);
@@ -43,12 +44,12 @@
     m_takeoversSeen = std::move(seen);
 }
 
-void range_holder::onConfirmed(boot_time confirmedAt)
+void range_lease_manager::onConfirmed(boot_time confirmedAt)
 {
     m_confirmedAt = std::max(m_confirmedAt, confirmedAt);
 }
 
-void range_holder::setUpstream(const std::optional<upstream_id> &upstream)
+void range_lease_manager::setUpstream(const std::optional<upstream_id> &upstream)
 {
     if (m_upstream != upstream) {
         // Another life holds nothing of what its predecessor was granted.
@@ -60,33 +61,33 @@
     }
 }
 
-bool range_holder::isOwn(const owned_range &range) const
+bool range_lease_manager::isOwn(const owned_range &range) const
 {
     return m_upstream && range.owner == *m_upstream;
 }
 
-bool range_holder::isGiving(key_interval keys) const
+bool range_lease_manager::isMoving(key_interval keys) const
 {
-    return std::any_of(m_giving.begin(), m_giving.end(), [keys](key_interval given) {
-        return given.first <= keys.last && keys.first <= given.last;
+    return std::any_of(m_moving.begin(), m_moving.end(), [keys](key_interval moved) {
+        return moved.first <= keys.last && keys.first <= moved.last;
     });
 }
 
-std::vector<key_interval> range_holder::keptOf(key_interval keys) const
+std::vector<key_interval> range_lease_manager::keptOf(key_interval keys) const
 {
     std::vector<key_interval> kept{keys};
-    for (const key_interval &given : m_giving) {
+    for (const key_interval &moved : m_moving) {
         std::vector<key_interval> left;
         for (const key_interval &part : kept) {
-            if (given.last < part.first || part.last < given.first) {
+            if (moved.last < part.first || part.last < moved.first) {
                 left.push_back(part);
                 continue;
             }
-            if (part.first < given.first) {
-                left.push_back({part.first, given.first - 1});
+            if (part.first < moved.first) {
+                left.push_back({part.first, moved.first - 1});
             }
-            if (given.last < part.last) {
-                left.push_back({given.last + 1, part.last});
+            if (moved.last < part.last) {
+                left.push_back({moved.last + 1, part.last});
             }
         }
         kept = std::move(left);
@@ -94,7 +95,7 @@
     return kept;
 }
 
-std::vector<range_grant> range_holder::heldWithin(key_interval keys) const
+std::vector<range_grant> range_lease_manager::heldWithin(key_interval keys) const
 {
     std::vector<range_grant> within;
     for (const held_grant &held : m_held) {
@@ -107,7 +108,8 @@
     return within;
 }
 
-const range_holder::held_grant *range_holder::findHeld(key_interval keys, uint64_t fence) const
+const range_lease_manager::held_grant *range_lease_manager::findHeld(key_interval keys,
+                                                                     uint64_t fence) const
 {
     const auto found = std::find_if(m_held.begin(), m_held.end(), [&](const held_grant &held) {
         return held.grant.fence == fence && held.grant.keys.first <= keys.first
@@ -116,19 +118,19 @@
     return found == m_held.end() ? nullptr : &*found;
 }
 
-bool range_holder::hasLease(boot_time now) const
+bool range_lease_manager::hasLease(boot_time now) const
 {
     return now - m_confirmedAt < m_timing.confirmationLife;
 }
 
-milliseconds range_holder::longestSafeHold(boot_time now) const
+milliseconds range_lease_manager::maxSafeHold(boot_time now) const
 {
     const auto left = std::chrono::duration_cast<milliseconds>(
         m_confirmedAt + m_timing.takeOverAfter() - grantTransit - now);
     return left * 100 / (100 + m_timing.driftPercent);
 }
 
-std::vector<range_grant> range_holder::dueGrants(boot_time now) const
+std::vector<range_grant> range_lease_manager::dueGrants(boot_time now) const
 {
     std::vector<range_grant> due;
     if (!hasLease(now)) {
@@ -149,9 +151,9 @@
     return due;
 }
 
-bool range_holder::maySend(const range_grant &grant, boot_time now) const
+bool range_lease_manager::maySend(const range_grant &grant, boot_time now) const
 {
-    if (!hasLease(now) || isGiving(grant.keys)) {
+    if (!hasLease(now) || isMoving(grant.keys)) {
         return false;
     }
     return std::all_of(m_placement.ranges.begin(), m_placement.ranges.end(),
@@ -162,43 +164,43 @@
                        });
 }
 
-void range_holder::onGranted(const range_grant &grant, boot_time sentAt)
+void range_lease_manager::onGranted(const range_grant &grant, boot_time sentAt)
 {
     onReleased(grant.keys, grant.fence);
     m_held.push_back({grant, sentAt});
 }
 
-void range_holder::onGrantUnanswered(const range_grant &grant, milliseconds holdTime,
-                                     boot_time sentAt)
+void range_lease_manager::onGrantUnconfirmed(const range_grant &grant, milliseconds holdTime,
+                                             boot_time sentAt)
 {
-    std::erase_if(m_unanswered,
-                  [sentAt](const unanswered_grant &known) { return known.end <= sentAt; });
+    std::erase_if(m_unconfirmed,
+                  [sentAt](const unconfirmed_grant &known) { return known.end <= sentAt; });
     const boot_time end = sentAt + grantTransit + holdTime + holdTime * m_timing.driftPercent / 100;
-    m_unanswered.push_back({grant.keys, end});
+    m_unconfirmed.push_back({grant.keys, end});
 }
 
-void range_holder::noteStart(boot_time startedAt)
+void range_lease_manager::noteStart(boot_time startedAt)
 {
-    onGrantUnanswered({key_interval(), 0, ""}, m_timing.holdTime, startedAt);
+    onGrantUnconfirmed({key_interval(), 0, ""}, m_timing.holdTime, startedAt);
 }
 
-bool range_holder::mayGiveAway(key_interval keys, boot_time now) const
+bool range_lease_manager::canMove(key_interval keys, boot_time now) const
 {
-    return std::none_of(m_unanswered.begin(), m_unanswered.end(),
-                        [&](const unanswered_grant &known) {
+    return std::none_of(m_unconfirmed.begin(), m_unconfirmed.end(),
+                        [&](const unconfirmed_grant &known) {
                             return now < known.end && known.keys.first <= keys.last
                                 && keys.first <= known.keys.last;
                         });
 }
 
-void range_holder::onGrantRefused(const range_grant &grant)
+void range_lease_manager::onGrantRefused(const range_grant &grant)
 {
     std::erase_if(m_held, [&](const held_grant &held) {
         return held.grant.fence == grant.fence && held.grant.keys == grant.keys;
     });
 }
 
-std::vector<range_grant> range_holder::dueReleases() const
+std::vector<range_grant> range_lease_manager::dueReleases() const
 {
     std::vector<range_grant> due;
     for (const held_grant &held : m_held) {
@@ -215,7 +217,7 @@
     return due;
 }
 
-void range_holder::onReleased(key_interval keys, uint64_t fence)
+void range_lease_manager::onReleased(key_interval keys, uint64_t fence)
 {
     std::vector<held_grant> left;
     for (const held_grant &held : m_held) {
@@ -237,7 +239,7 @@
     m_held = std::move(left);
 }
 
-bool range_holder::isTakeoverDue(boot_time now) const
+bool range_lease_manager::isTakeoverDue(boot_time now) const
 {
     return std::any_of(
         m_placement.ranges.begin(), m_placement.ranges.end(), [&](const owned_range &range) {
@@ -249,19 +251,19 @@
         });
 }
 
-bool range_holder::mayServe(shard_key key, boot_time now) const
+bool range_lease_manager::mayServe(shard_key key, boot_time now) const
 {
-    if (isGiving({key, key})) {
+    if (isMoving({key, key})) {
         return false;
     }
     return std::any_of(m_held.begin(), m_held.end(), [&](const held_grant &held) {
         return held.grant.keys.contains(key)
-            && now < held.sentAt + m_timing.holdTime - m_timing.handOverGuard
+            && now < held.sentAt + m_timing.holdTime - m_timing.dispatchMargin
             && m_placement.rangeOf(key).fence == held.grant.fence;
     });
 }
 
-std::vector<key_interval> range_holder::served(boot_time now) const
+std::vector<key_interval> range_lease_manager::served(boot_time now) const
 {
     std::vector<key_interval> intervals;
     for (const held_grant &held : m_held) {
@@ -272,11 +274,11 @@
     return intervals;
 }
 
-std::optional<boot_time> range_holder::lastHoldEnd() const
+std::optional<boot_time> range_lease_manager::lastHoldEnd() const
 {
     std::optional<boot_time> end;
     for (const held_grant &held : m_held) {
-        const boot_time heldUntil = held.sentAt + m_timing.longestHold();
+        const boot_time heldUntil = held.sentAt + m_timing.maxHold();
         end = end ? std::max(*end, heldUntil) : heldUntil;
     }
     return end;
--- a/src/persimmonrail/keyspace/range_holder.h
+++ b/src/persimmonrail/keyspace/range_lease_manager.h
@@ -24,12 +24,12 @@
     // Time between two renewals.
     milliseconds renewInterval{750};
     // Work is not started when less than this is left of the hold time.
-    milliseconds handOverGuard{30};
+    milliseconds dispatchMargin{30};
 
     // Time after which an owner that lost the store, or was lost itself, certainly holds no key.
     milliseconds takeOverAfter() const;
     // Longest time that one grant is in force, by any clock.
-    milliseconds longestHold() const;
+    milliseconds maxHold() const;
 };
 
 // One call to the upstream.
@@ -47,10 +47,10 @@
 //
 // Invariant: grants are renewed only while the store is known to have named the upstream as owner
 // within the confirmation life.
-class range_holder
+class range_lease_manager
 {
 public:
-    explicit range_holder(range_lease_timing timing = {});
+    explicit range_lease_manager(range_lease_timing timing = {});
 
     // `confirmedAt` is a moment at which the store certainly held this placement.
     void onPlacement(const key_placement &placement, boot_time confirmedAt, boot_time now);
@@ -64,7 +64,7 @@
 
     // Longest hold time for a grant sent at `now`, so that it ends before any takeover; used before
     // a stop, to keep the keys over a restart. Not positive if the lease has ended.
-    milliseconds longestSafeHold(boot_time now) const;
+    milliseconds maxSafeHold(boot_time now) const;
     // Grants that are due to be made or renewed at `now`.
     std::vector<range_grant> dueGrants(boot_time now) const;
     // Whether a grant that was due may still be sent at `now`: since then its keys may have been
@@ -74,10 +74,10 @@
     void onGranted(const range_grant &grant, boot_time sentAt);
     // A grant was sent and not answered: the upstream may carry it out at any later time, also
     // after a release. Its hold counts from its arrival, so it is harmless once that has ended.
-    void onGrantUnanswered(const range_grant &grant, milliseconds holdTime, boot_time sentAt);
+    void onGrantUnconfirmed(const range_grant &grant, milliseconds holdTime, boot_time sentAt);
     // Whether no such grant of these keys can still come into force, so that they may be released
     // and given away.
-    bool mayGiveAway(key_interval keys, boot_time now) const;
+    bool canMove(key_interval keys, boot_time now) const;
     // The upstream refused the grant: it knows a higher fence, or has no such life any more.
     void onGrantRefused(const range_grant &grant);
     // Grants that are in force but not recorded for this upstream any more.
@@ -86,8 +86,8 @@
     void onReleased(key_interval keys, uint64_t fence);
 
     // Stops serving and renewing the intervals, which are to be given away; empty resumes both.
-    void setGiving(std::vector<key_interval> keys) { m_giving = std::move(keys); }
-    const std::vector<key_interval> &giving() const { return m_giving; }
+    void setMoving(std::vector<key_interval> keys) { m_moving = std::move(keys); }
+    const std::vector<key_interval> &moving() const { return m_moving; }
     // Grants in force that overlap the interval, cut to it.
     std::vector<range_grant> heldWithin(key_interval keys) const;
 
@@ -109,14 +109,14 @@
         range_grant grant;
         boot_time sentAt{};
     };
-    struct unanswered_grant
+    struct unconfirmed_grant
     {
         key_interval keys;
         // When its hold has ended by any clock, whenever it is carried out.
         boot_time end{};
     };
     bool isOwn(const owned_range &range) const;
-    bool isGiving(key_interval keys) const;
+    bool isMoving(key_interval keys) const;
     // The parts of an interval that are not to be given away.
     std::vector<key_interval> keptOf(key_interval keys) const;
     const held_grant *findHeld(key_interval keys, uint64_t fence) const;
@@ -128,8 +128,8 @@
     std::vector<std::pair<uint64_t, boot_time>> m_takeoversSeen;
     std::optional<upstream_id> m_upstream;
     std::vector<held_grant> m_held;
-    std::vector<unanswered_grant> m_unanswered;
-    std::vector<key_interval> m_giving;
+    std::vector<unconfirmed_grant> m_unconfirmed;
+    std::vector<key_interval> m_moving;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/keyspace/range_plan.cpp
+++ b/src/persimmonrail/keyspace/range_plan.cpp
@@ -113,12 +113,12 @@
     return placement;
 }
 
-key_placement giveRange(key_placement placement, key_interval keys, const upstream_id &target,
+key_placement moveRange(key_placement placement, key_interval keys, const upstream_id &target,
                         const std::string &handover)
 {
-    owned_range &given = placement.carve(keys);
-    setOwner(given, target, ++placement.highestFence);
-    given.handover = handover;
+    owned_range &moved = placement.carve(keys);
+    setOwner(moved, target, ++placement.highestFence);
+    moved.handover = handover;
     placement.join();
     return placement;
 }
@@ -161,10 +161,10 @@
 
 // Evenly used keys of a large owner need a smaller move than the loads ask for; with this many
 // halvings the least share is a sixteenth.
-constexpr int mostHalvings = 4;
+constexpr int maxHalvings = 4;
 // A key that alone carries more than this multiple of what is wanted stays: moving it only moves
 // the overload.
-constexpr double mostExcess = 1.6;
+constexpr double maxExcess = 1.6;
 constexpr int levelSteps = 30;
 // Loads that differ by less count as the same when targets are put in order.
 constexpr double loadStep = 0.2;
@@ -193,7 +193,7 @@
     shard_key first = interval.first;
     double sum = 0;
     for (shard_key key = interval.first; key <= interval.last; ++key) {
-        if (rate(key) > wanted * mostExcess) {
+        if (rate(key) > wanted * maxExcess) {
             first = key + 1;
             sum = 0;
             continue;
@@ -226,11 +226,11 @@
 // Chooses a window that carries about `wanted` and has no more keys than one move may take.
 std::optional<rated_window> chooseWindow(const std::vector<key_interval> &intervals,
                                          const std::function<double(shard_key)> &rate,
-                                         double wanted, double mostKeys)
+                                         double wanted, double maxKeys)
 {
-    for (int halvings = 0; halvings < mostHalvings; ++halvings, wanted /= 2) {
+    for (int halvings = 0; halvings < maxHalvings; ++halvings, wanted /= 2) {
         const auto window = shortestOf(intervals, rate, wanted);
-        if (window && window->rate <= wanted * mostExcess && window->keys.count() <= mostKeys) {
+        if (window && window->rate <= wanted * maxExcess && window->keys.count() <= maxKeys) {
             return window;
         }
     }
@@ -262,13 +262,14 @@
 {
     std::vector<target_room> targets;
     for (const owner_load &other : others) {
-        if (self.utilization - other.utilization < options.leastDifference) {
+        if (self.utilization - other.utilization < options.minDifference) {
             continue;
         }
-        const bool isMeasured = other.service.count() > 0 && self.service.count() > 0;
-        const double speed = isMeasured
-            ? static_cast<double>(self.service.count()) / static_cast<double>(other.service.count())
-            : 1;
+        const bool isMeasured =
+            other.meanServiceTime.count() > 0 && self.meanServiceTime.count() > 0;
+        const double speed = isMeasured ? static_cast<double>(self.meanServiceTime.count())
+                / static_cast<double>(other.meanServiceTime.count())
+                                        : 1;
         const double slots =
             static_cast<double>(std::max(other.slots, 1)) / std::max(self.slots, 1);
         targets.push_back({other.id, other.utilization, ownRatePerLoad * slots * speed});
@@ -282,8 +283,8 @@
     std::sort(
         targets.begin(), targets.end(),
         [&orderOf](const target_room &a, const target_room &b) { return orderOf(a) < orderOf(b); });
-    if (targets.size() > options.mostTargets) {
-        targets.resize(options.mostTargets);
+    if (targets.size() > options.maxTargets) {
+        targets.resize(options.maxTargets);
     }
     return targets;
 }
@@ -331,7 +332,7 @@
                                       const owner_load &self, const std::vector<owner_load> &others,
                                       const move_options &options)
 {
-    if (self.utilization < options.leastUtilization) {
+    if (self.utilization < options.minUtilization) {
         return {};
     }
     const double total = sumOf(own, rate, std::numeric_limits<double>::infinity());
@@ -349,10 +350,10 @@
     std::vector<key_interval> left = own;
     for (const target_room &target : targets) {
         const double wanted = (level - target.utilization) * target.ratePerLoad * options.intake;
-        if (wanted < ownRatePerLoad * options.leastShare) {
+        if (wanted < ownRatePerLoad * options.minShare) {
             continue;
         }
-        const auto window = chooseWindow(left, rate, wanted, options.mostKeys * (lastKey + 1));
+        const auto window = chooseWindow(left, rate, wanted, options.maxKeys * (lastKey + 1));
         if (window) {
             moves.push_back({window->keys, target.id});
             removeFrom(left, window->keys);
@@ -367,18 +368,18 @@
 {
     const range_candidate *newcomer = nullptr;
     const range_candidate *largest = nullptr;
-    uint32_t mostKeys = 0;
+    uint32_t maxKeys = 0;
     for (const range_candidate &candidate : candidates) {
         const uint32_t keys = ownedKeys(placement, candidate.id);
         if (keys == 0 && (newcomer == nullptr || candidate.id < newcomer->id)) {
             newcomer = &candidate;
         }
-        if (keys > mostKeys) {
-            mostKeys = keys;
+        if (keys > maxKeys) {
+            maxKeys = keys;
             largest = &candidate;
         }
     }
-    if (newcomer == nullptr || largest == nullptr || largest->id != self || mostKeys < 2) {
+    if (newcomer == nullptr || largest == nullptr || largest->id != self || maxKeys < 2) {
         return std::nullopt;
     }
     const owned_range *longest = nullptr;
