--- a/src/persimmonrail/keyspace/range_plan.h
+++ b/src/persimmonrail/keyspace/range_plan.h
@@ -28,7 +28,7 @@
                            std::vector<range_candidate> candidates, milliseconds takeOverAfter);
 
 // Gives `keys` to `target`, as their owner does after it has released them.
-key_placement giveRange(key_placement placement, key_interval keys, const upstream_id &target,
+key_placement moveRange(key_placement placement, key_interval keys, const upstream_id &target,
                         const std::string &handover);
 
 // Clears the waiting time of a takeover by `owner` whose time has passed.
@@ -49,23 +49,23 @@
     // over about a second. Above 1 it can't serve them all.
     double utilization = 0;
     // Mean time that one request takes there; 0 if unknown.
-    std::chrono::microseconds service{0};
+    std::chrono::microseconds meanServiceTime{0};
 };
 
 struct move_options
 {
     // Below this utilization an owner keeps its keys, since moving them would help nobody.
-    double leastUtilization = 0.75;
+    double minUtilization = 0.75;
     // Difference to the least loaded owner from which keys are moved.
-    double leastDifference = 0.25;
+    double minDifference = 0.25;
     // Largest part of all keys that one move takes.
-    double mostKeys = 0.25;
+    double maxKeys = 0.25;
     // Owners that get keys at once. A hot area may need as many as carry it together.
-    size_t mostTargets = 6;
+    size_t maxTargets = 6;
     // Part of the room of a target that one owner fills, since others may choose the same target.
     double intake = 0.8;
     // Moves of a smaller part of what the owner can serve are not worth their cost.
-    double leastShare = 0.02;
+    double minShare = 0.02;
 };
 
 struct planned_move
--- a/src/persimmonrail/keyspace/tests/keyspace_test.cpp
+++ b/src/persimmonrail/keyspace/tests/keyspace_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/keyspace/range_holder.h"
+#include "persimmonrail/keyspace/range_lease_manager.h"
 #include "persimmonrail/keyspace/range_plan.h"
 
 #include <catch2/catch.hpp>
@@ -43,7 +43,7 @@
 
 TEST_CASE("a placement keeps its values in the store", "[keyspace]")
 {
-    key_placement placement = giveRange(twoOwners(), {100, 200}, b, "token");
+    key_placement placement = moveRange(twoOwners(), {100, 200}, b, "token");
     placement = reassignLost(
         placement, [](const upstream_id &id) { return id == a; }, {{b, 9}, {c, 9}}, 10s);
     const auto parsed = parsePlacement(encodePlacement(placement));
@@ -81,7 +81,7 @@
 {
     const upstream_id odd{"a;b,\"c\"/7", 5};
     const std::string handover = "x;y,z \"\\/1";
-    const auto placement = giveRange(twoOwners(), {7, 9}, odd, handover);
+    const auto placement = moveRange(twoOwners(), {7, 9}, odd, handover);
     const auto parsed = parsePlacement(encodePlacement(placement));
     REQUIRE(parsed.ok());
     CHECK(*parsed == placement);
@@ -105,7 +105,7 @@
                 placement, [&](const upstream_id &id) { return id == lost && id != taker; },
                 {{taker, 9}}, milliseconds(random() % 2 * 1000));
         } else {
-            placement = giveRange(placement, {first, last}, ids[random() % 3], "t");
+            placement = moveRange(placement, {first, last}, ids[random() % 3], "t");
         }
         REQUIRE(isWhole(placement));
         for (const owned_range &changed : placement.ranges) {
@@ -121,22 +121,22 @@
 TEST_CASE("grants end with the lease from the store", "[keyspace]")
 {
     range_lease_timing timing;
-    range_holder holder(timing);
-    holder.setUpstream(a);
-    holder.onPlacement(twoOwners(), start, start);
-    const auto due = holder.dueGrants(start);
+    range_lease_manager manager(timing);
+    manager.setUpstream(a);
+    manager.onPlacement(twoOwners(), start, start);
+    const auto due = manager.dueGrants(start);
     REQUIRE(due.size() == 1);
     CHECK(due[0].keys == key_interval{0, 32767});
-    CHECK_FALSE(holder.mayServe(5, start));
-    holder.onGranted(due[0], start);
-    CHECK(holder.mayServe(5, start));
-    CHECK_FALSE(holder.mayServe(40000, start));
-    CHECK(holder.dueGrants(start + timing.renewInterval - 1ms).empty());
-    CHECK(holder.dueGrants(start + timing.renewInterval).size() == 1);
-    CHECK(holder.dueGrants(start + timing.confirmationLife).empty());
-    CHECK_FALSE(holder.mayServe(5, start + timing.holdTime));
-    holder.onConfirmed(start + 5s);
-    CHECK(holder.dueGrants(start + timing.confirmationLife).size() == 1);
+    CHECK_FALSE(manager.mayServe(5, start));
+    manager.onGranted(due[0], start);
+    CHECK(manager.mayServe(5, start));
+    CHECK_FALSE(manager.mayServe(40000, start));
+    CHECK(manager.dueGrants(start + timing.renewInterval - 1ms).empty());
+    CHECK(manager.dueGrants(start + timing.renewInterval).size() == 1);
+    CHECK(manager.dueGrants(start + timing.confirmationLife).empty());
+    CHECK_FALSE(manager.mayServe(5, start + timing.holdTime));
+    manager.onConfirmed(start + 5s);
+    CHECK(manager.dueGrants(start + timing.confirmationLife).size() == 1);
 }
 
 // Guards against two holders of one key: by any clock the last grant of a lost owner has ended
@@ -144,7 +144,7 @@
 TEST_CASE("a takeover waits for the longest hold of the earlier owner", "[keyspace]")
 {
     const range_lease_timing timing;
-    range_holder earlier(timing);
+    range_lease_manager earlier(timing);
     earlier.setUpstream(a);
     const key_placement before = twoOwners();
     earlier.onPlacement(before, start, start);
@@ -152,7 +152,7 @@
     const boot_time changedAt = start;
     key_placement after = reassignLost(
         before, [](const upstream_id &id) { return id == a; }, {{b, 9}}, timing.takeOverAfter());
-    range_holder later(timing);
+    range_lease_manager later(timing);
     later.setUpstream(b);
     later.onPlacement(after, changedAt, changedAt);
     CHECK(fenceOf(after, 5) > fenceOf(before, 5));
@@ -161,7 +161,7 @@
     for (boot_time now = start; now < start + 30s; now += 50ms) {
         for (const range_grant &grant : earlier.dueGrants(now)) {
             earlier.onGranted(grant, now);
-            lastEnd = now + timing.longestHold();
+            lastEnd = now + timing.maxHold();
         }
         const bool held = now < lastEnd;
         const bool mayTake = later.isTakeoverDue(now);
@@ -193,14 +193,14 @@
 TEST_CASE("an extended hold ends before a takeover", "[keyspace]")
 {
     const range_lease_timing timing;
-    range_holder holder(timing);
-    holder.setUpstream(a);
-    holder.onPlacement(twoOwners(), start, start);
+    range_lease_manager manager(timing);
+    manager.setUpstream(a);
+    manager.onPlacement(twoOwners(), start, start);
     for (const boot_time now : {start, start + 2s, start + 6s}) {
-        const milliseconds hold = holder.longestSafeHold(now);
+        const milliseconds hold = manager.maxSafeHold(now);
         CHECK(now + hold + hold * timing.driftPercent / 100 <= start + timing.takeOverAfter());
     }
-    CHECK(holder.longestSafeHold(start + 11s) <= 0ms);
+    CHECK(manager.maxSafeHold(start + 11s) <= 0ms);
 }
 
 TEST_CASE("the earlier owner takes its keys back while the takeover waits", "[keyspace]")
@@ -221,56 +221,56 @@
 // Guards against requests for keys that are being released, and against a gap in the others.
 TEST_CASE("only the given interval stops being served and renewed", "[keyspace]")
 {
-    range_holder holder;
-    holder.setUpstream(a);
-    holder.onPlacement(twoOwners(), start, start);
-    holder.onGranted(holder.dueGrants(start).front(), start);
-    holder.setGiving({{100, 199}});
-    CHECK(holder.mayServe(99, start));
-    CHECK_FALSE(holder.mayServe(100, start));
-    CHECK(holder.mayServe(200, start));
+    range_lease_manager manager;
+    manager.setUpstream(a);
+    manager.onPlacement(twoOwners(), start, start);
+    manager.onGranted(manager.dueGrants(start).front(), start);
+    manager.setMoving({{100, 199}});
+    CHECK(manager.mayServe(99, start));
+    CHECK_FALSE(manager.mayServe(100, start));
+    CHECK(manager.mayServe(200, start));
     std::vector<key_interval> renewed;
-    for (const range_grant &grant : holder.dueGrants(start + 1s)) {
+    for (const range_grant &grant : manager.dueGrants(start + 1s)) {
         renewed.push_back(grant.keys);
-        holder.onGranted(grant, start + 1s);
+        manager.onGranted(grant, start + 1s);
     }
     CHECK(renewed == std::vector<key_interval>{{0, 99}, {200, 32767}});
-    holder.onReleased({100, 199}, 1);
-    holder.setGiving({});
-    CHECK_FALSE(holder.mayServe(150, start + 1s));
-    holder.onPlacement(giveRange(twoOwners(), {100, 199}, b, "t"), start + 1s, start + 1s);
-    CHECK(holder.mayServe(99, start + 1s));
-    CHECK(holder.mayServe(200, start + 1s));
-    CHECK(holder.dueReleases().empty());
+    manager.onReleased({100, 199}, 1);
+    manager.setMoving({});
+    CHECK_FALSE(manager.mayServe(150, start + 1s));
+    manager.onPlacement(moveRange(twoOwners(), {100, 199}, b, "t"), start + 1s, start + 1s);
+    CHECK(manager.mayServe(99, start + 1s));
+    CHECK(manager.mayServe(200, start + 1s));
+    CHECK(manager.dueReleases().empty());
 }
 
 // Guards against a renewal that was enqueued before its keys were released and arrives after.
 TEST_CASE("a grant that waited is sent only if it is still right", "[keyspace]")
 {
-    range_holder holder;
-    holder.setUpstream(a);
-    holder.onPlacement(twoOwners(), start, start);
-    const range_grant grant = holder.dueGrants(start).front();
-    CHECK(holder.maySend(grant, start));
-    holder.setGiving({{100, 199}});
-    CHECK_FALSE(holder.maySend(grant, start));
-    holder.setGiving({});
-    CHECK_FALSE(holder.maySend(grant, start + 7s));
-    holder.onPlacement(giveRange(twoOwners(), {100, 199}, b, "t"), start, start);
-    CHECK_FALSE(holder.maySend(grant, start));
-    CHECK(holder.maySend(holder.dueGrants(start).front(), start));
+    range_lease_manager manager;
+    manager.setUpstream(a);
+    manager.onPlacement(twoOwners(), start, start);
+    const range_grant grant = manager.dueGrants(start).front();
+    CHECK(manager.maySend(grant, start));
+    manager.setMoving({{100, 199}});
+    CHECK_FALSE(manager.maySend(grant, start));
+    manager.setMoving({});
+    CHECK_FALSE(manager.maySend(grant, start + 7s));
+    manager.onPlacement(moveRange(twoOwners(), {100, 199}, b, "t"), start, start);
+    CHECK_FALSE(manager.maySend(grant, start));
+    CHECK(manager.maySend(manager.dueGrants(start).front(), start));
 }
 
 // Guards against two owners: an upstream may carry out a grant that it did not answer after its
 // keys were released and given to another one.
 TEST_CASE("keys stay until an unanswered grant of them can't come into force", "[keyspace]")
 {
-    range_holder holder;
-    holder.setUpstream(a);
-    holder.onPlacement(twoOwners(), start, start);
-    const range_grant grant = holder.dueGrants(start).at(0);
-    CHECK(holder.mayGiveAway(grant.keys, start));
-    holder.onGrantUnanswered({{100, 200}, grant.fence, ""}, 3000ms, start);
+    range_lease_manager manager;
+    manager.setUpstream(a);
+    manager.onPlacement(twoOwners(), start, start);
+    const range_grant grant = manager.dueGrants(start).at(0);
+    CHECK(manager.canMove(grant.keys, start));
+    manager.onGrantUnconfirmed({{100, 200}, grant.fence, ""}, 3000ms, start);
     const auto [keys, isFreeAtOnce] = GENERATE(table<key_interval, bool>({
         {{0, 99}, true},
         {{0, 100}, false},
@@ -278,44 +278,44 @@
         {{200, 300}, false},
         {{201, 300}, true},
     }));
-    CHECK(holder.mayGiveAway(keys, start + 1s) == isFreeAtOnce);
+    CHECK(manager.canMove(keys, start + 1s) == isFreeAtOnce);
     // Hold time, its drift, and the way to the upstream.
-    CHECK(holder.mayGiveAway(keys, start + 3359ms) == isFreeAtOnce);
-    CHECK(holder.mayGiveAway(keys, start + 3361ms));
+    CHECK(manager.canMove(keys, start + 3359ms) == isFreeAtOnce);
+    CHECK(manager.canMove(keys, start + 3361ms));
     // A later grant that was answered says nothing of the earlier one.
-    holder.onGranted({{100, 200}, grant.fence, ""}, start + 1s);
-    CHECK(holder.mayGiveAway(keys, start + 1s) == isFreeAtOnce);
+    manager.onGranted({{100, 200}, grant.fence, ""}, start + 1s);
+    CHECK(manager.canMove(keys, start + 1s) == isFreeAtOnce);
 }
 
 TEST_CASE("a daemon that starts again gives nothing away at once", "[keyspace]")
 {
-    range_holder holder;
-    holder.noteStart(start);
-    CHECK_FALSE(holder.mayGiveAway({7, 7}, start + 3s));
-    CHECK(holder.mayGiveAway({7, 7}, start + 4s));
+    range_lease_manager manager;
+    manager.noteStart(start);
+    CHECK_FALSE(manager.canMove({7, 7}, start + 3s));
+    CHECK(manager.canMove({7, 7}, start + 4s));
 }
 
 TEST_CASE("grants that are recorded for another owner are released", "[keyspace]")
 {
-    range_holder holder;
-    holder.setUpstream(a);
-    holder.onPlacement(twoOwners(), start, start);
-    holder.onGranted(holder.dueGrants(start).front(), start);
-    holder.onPlacement(giveRange(twoOwners(), {0, 32767}, b, ""), start, start);
-    CHECK_FALSE(holder.mayServe(5, start));
-    REQUIRE(holder.dueReleases().size() == 1);
-    CHECK(holder.dueReleases()[0].keys == key_interval{0, 32767});
+    range_lease_manager manager;
+    manager.setUpstream(a);
+    manager.onPlacement(twoOwners(), start, start);
+    manager.onGranted(manager.dueGrants(start).front(), start);
+    manager.onPlacement(moveRange(twoOwners(), {0, 32767}, b, ""), start, start);
+    CHECK_FALSE(manager.mayServe(5, start));
+    REQUIRE(manager.dueReleases().size() == 1);
+    CHECK(manager.dueReleases()[0].keys == key_interval{0, 32767});
 }
 
 TEST_CASE("another life of the upstream holds nothing", "[keyspace]")
 {
-    range_holder holder;
-    holder.setUpstream(a);
-    holder.onPlacement(twoOwners(), start, start);
-    holder.onGranted(holder.dueGrants(start).front(), start);
-    holder.setUpstream(upstream_id{"a", 2});
-    CHECK_FALSE(holder.mayServe(5, start));
-    CHECK(holder.dueGrants(start).empty());
+    range_lease_manager manager;
+    manager.setUpstream(a);
+    manager.onPlacement(twoOwners(), start, start);
+    manager.onGranted(manager.dueGrants(start).front(), start);
+    manager.setUpstream(upstream_id{"a", 2});
+    CHECK_FALSE(manager.mayServe(5, start));
+    CHECK(manager.dueGrants(start).empty());
 }
 
 namespace {
--- a/src/persimmonrail/objects/http_connection_pool.cpp
+++ b/src/persimmonrail/objects/http_connection_pool.cpp
@@ -14,7 +14,7 @@
 constexpr std::chrono::seconds maxIdle{5};
 constexpr size_t maxIdleConnections = 8;
 // A list of all 26,800 placement records takes about 20 MB.
-constexpr size_t maxAnswerBytes = 128 * 1024 * 1024;
+constexpr size_t maxResponseBytes = 128 * 1024 * 1024;
 
 Poco::Timespan toTimespan(milliseconds time)
 {
@@ -35,7 +35,7 @@
     char buffer[16 * 1024];
     while (stream.read(buffer, sizeof buffer) || stream.gcount() > 0) {
         body.append(buffer, static_cast<size_t>(stream.gcount()));
-        if (body.size() > maxAnswerBytes) {
+        if (body.size() > maxResponseBytes) {
             return absl::DataLossError("the answer exceeds the size limit");
         }
         if (std::chrono::steady_clock::now() > end) {
@@ -117,8 +117,8 @@
     }
 }
 
-absl::StatusOr<http_answer> http_connection_pool::send(const http_call &call,
-                                                       std::unique_ptr<session> connection)
+absl::StatusOr<http_response> http_connection_pool::send(const http_call &call,
+                                                         std::unique_ptr<session> connection)
 {
     using namespace Poco::Net;
     try {
@@ -135,7 +135,7 @@
         if (response.getKeepAlive()) {
             release(std::move(connection));
         }
-        return http_answer{response.getStatus(), *std::move(body)};
+        return http_response{response.getStatus(), *std::move(body)};
     } catch (const NoMessageException &) {
         return broken("connection closed without an answer");
     } catch (const MessageException &error) {
@@ -147,17 +147,17 @@
     }
 }
 
-absl::StatusOr<http_answer> http_connection_pool::attempt(const http_call &call)
+absl::StatusOr<http_response> http_connection_pool::attempt(const http_call &call)
 {
     auto first = acquire(false);
     if (!first.ok()) {
         return first.status();
     }
     const bool isReused = first->isReused;
-    auto answer = send(call, std::move(first->connection));
+    auto response = send(call, std::move(first->connection));
     // A second attempt after a timeout would double the caller's waiting time.
-    if (!absl::IsUnknown(answer.status()) || !isReused || !call.isRepeatable) {
-        return answer;
+    if (!absl::IsUnknown(response.status()) || !isReused || !call.isRepeatable) {
+        return response;
     }
     auto second = acquire(true);
     if (!second.ok()) {
@@ -166,15 +166,16 @@
     return send(call, std::move(second->connection));
 }
 
-absl::StatusOr<http_answer> http_connection_pool::exchange(const http_call &call)
+absl::StatusOr<http_response> http_connection_pool::exchange(const http_call &call)
 {
-    auto answer = attempt(call);
-    if (answer.ok()) {
-        return answer;
+    auto response = attempt(call);
+    if (response.ok()) {
+        return response;
     }
-    const auto code = absl::IsDeadlineExceeded(answer.status()) ? absl::StatusCode::kUnknown
-                                                                : answer.status().code();
-    return absl::Status(code, absl::StrCat(m_address.toString(), ": ", answer.status().message()));
+    const auto code = absl::IsDeadlineExceeded(response.status()) ? absl::StatusCode::kUnknown
+                                                                  : response.status().code();
+    return absl::Status(code,
+                        absl::StrCat(m_address.toString(), ": ", response.status().message()));
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/objects/http_connection_pool.h
+++ b/src/persimmonrail/objects/http_connection_pool.h
@@ -26,7 +26,7 @@
     bool isRepeatable = false;
 };
 
-struct http_answer
+struct http_response
 {
     int status = 0;
     std::string body;
@@ -42,7 +42,7 @@
 
     // Errors: Unavailable if no connection was made, so that nothing was sent; Unknown if the
     // exchange broke after that; DataLoss if the answer is no HTTP or exceeds the size limit.
-    absl::StatusOr<http_answer> exchange(const http_call &call);
+    absl::StatusOr<http_response> exchange(const http_call &call);
 
 private:
     class session;
@@ -54,9 +54,9 @@
 
     absl::StatusOr<lease> acquire(bool mustBeNew);
     void release(std::unique_ptr<session> connection);
-    absl::StatusOr<http_answer> attempt(const http_call &call);
+    absl::StatusOr<http_response> attempt(const http_call &call);
     // Reports a timeout as DeadlineExceeded.
-    absl::StatusOr<http_answer> send(const http_call &call, std::unique_ptr<session> connection);
+    absl::StatusOr<http_response> send(const http_call &call, std::unique_ptr<session> connection);
 
     const Poco::Net::SocketAddress m_address;
     const milliseconds m_timeout;
--- a/src/persimmonrail/objects/http_object_api.cpp
+++ b/src/persimmonrail/objects/http_object_api.cpp
@@ -67,11 +67,11 @@
 
 // Runs `decode` on the JSON object in an answer.
 template <typename Value, typename Decode>
-absl::StatusOr<Value> decodeAnswer(const http_answer &answer, const Decode &decode)
+absl::StatusOr<Value> decodeResponse(const http_response &response, const Decode &decode)
 {
     try {
         Poco::JSON::Parser parser;
-        return decode(*parser.parse(answer.body).extract<Object::Ptr>());
+        return decode(*parser.parse(response.body).extract<Object::Ptr>());
     } catch (const Poco::Exception &error) {
         return malformed(error.displayText());
     } catch (const std::exception &error) {
@@ -141,11 +141,11 @@
         if (key.empty()) {
             return absl::InvalidArgumentError("key is empty");
         }
-        const auto answer = read(objectTarget(key), m_timeout);
-        if (!answer.ok()) {
-            return answer.status();
+        const auto response = read(objectTarget(key), m_timeout);
+        if (!response.ok()) {
+            return response.status();
         }
-        auto object = decodeAnswer<stored_object>(*answer, readObject);
+        auto object = decodeResponse<stored_object>(*response, readObject);
         if (object.ok() && object->key != key) {
             return malformed(absl::StrCat("object ", object->key, " instead of ", key));
         }
@@ -173,8 +173,8 @@
             return absl::InvalidArgumentError("key is empty or value exceeds one megabyte");
         }
         const std::string target = absl::StrCat(objectTarget(key), "?version=", expectedVersion);
-        const auto answer = m_pool.exchange({method, target, value, m_timeout, false});
-        auto version = answer.ok() ? readVersion(*answer) : answer.status();
+        const auto response = m_pool.exchange({method, target, value, m_timeout, false});
+        auto version = response.ok() ? readVersion(*response) : response.status();
         // The write may have taken effect although its answer is unusable.
         if (version.status().code() == absl::StatusCode::kDataLoss) {
             return absl::UnknownError(version.status().message());
@@ -183,16 +183,16 @@
     }
 
 private:
-    static absl::StatusOr<uint64_t> readVersion(const http_answer &answer)
+    static absl::StatusOr<uint64_t> readVersion(const http_response &response)
     {
-        if (answer.status == 404) {
+        if (response.status == 404) {
             return absl::InvalidArgumentError("platform answered 404 to a write");
         }
-        if (auto status = checkStatus(answer.status); !status.ok()) {
+        if (auto status = checkStatus(response.status); !status.ok()) {
             return status;
         }
-        auto version = decodeAnswer<uint64_t>(
-            answer, [](const Object &object) { return readNumber(object, "version"); });
+        auto version = decodeResponse<uint64_t>(
+            response, [](const Object &object) { return readNumber(object, "version"); });
         if (version.ok() && *version == 0) {
             return malformed("version 0");
         }
@@ -202,18 +202,18 @@
     absl::StatusOr<object_list> readObjects(const std::string &target, const std::string &field,
                                             milliseconds timeout)
     {
-        const auto answer = read(target, timeout);
-        if (!answer.ok()) {
-            return answer.status();
+        const auto response = read(target, timeout);
+        if (!response.ok()) {
+            return response.status();
         }
-        return decodeAnswer<object_list>(
-            *answer, [&](const Object &object) { return readList(object, field); });
+        return decodeResponse<object_list>(
+            *response, [&](const Object &object) { return readList(object, field); });
     }
 
-    absl::StatusOr<http_answer> read(const std::string &target, milliseconds timeout)
+    absl::StatusOr<http_response> read(const std::string &target, milliseconds timeout)
     {
-        auto answer = m_pool.exchange({"GET", target, "", timeout, true});
-        auto status = answer.ok() ? checkStatus(answer->status) : answer.status();
+        auto response = m_pool.exchange({"GET", target, "", timeout, true});
+        auto status = response.ok() ? checkStatus(response->status) : response.status();
         // A read has no effect, so a broken exchange leaves nothing in doubt.
         if (status.code() == absl::StatusCode::kUnknown) {
             status = absl::UnavailableError(status.message());
@@ -221,7 +221,7 @@
         if (!status.ok()) {
             return status;
         }
-        return answer;
+        return response;
     }
 
     http_connection_pool m_pool;
--- a/src/persimmonrail/objects/tests/http_object_api_test.cpp
+++ b/src/persimmonrail/objects/tests/http_object_api_test.cpp
@@ -58,15 +58,15 @@
     std::thread m_thread;
 };
 
-std::string httpAnswer(int status, const std::string &body, size_t declaredLength)
+std::string httpResponse(int status, const std::string &body, size_t declaredLength)
 {
     return "HTTP/1.1 " + std::to_string(status) + " x\r\nConnection: close\r\nContent-Length: "
         + std::to_string(declaredLength) + "\r\n\r\n" + body;
 }
 
-std::string httpAnswer(int status, const std::string &body)
+std::string httpResponse(int status, const std::string &body)
 {
-    return httpAnswer(status, body, body.size());
+    return httpResponse(status, body, body.size());
 }
 
 std::string control(const std::string &address, const std::string &method,
@@ -181,7 +181,7 @@
     platform_standin standin;
     const auto api = makeHttpObjectApi(standin.address(), timeout);
     REQUIRE(*api.put("a", 0, "first") == 1);
-    standin.dropAnswers(1);
+    standin.dropResponses(1);
     CHECK(absl::IsUnknown(api.put("a", 1, "second").status()));
     CHECK(standin.calls().writes == 2);
     auto result = readBack(api, "a", 1, "second");
@@ -190,7 +190,7 @@
     CHECK(readBack(api, "a", 2, "third")->state == read_back_state::NotWritten);
     CHECK(readBack(api, "b", 0, "third")->state == read_back_state::NotWritten);
     CHECK(readBack(api, "a", 1, "third")->state == read_back_state::Replaced);
-    standin.dropAnswers(1);
+    standin.dropResponses(1);
     CHECK(absl::IsUnknown(api.remove("a", 2).status()));
     CHECK(readBack(api, "a", 2, "third")->state == read_back_state::Replaced);
     standin.setOutage(true);
@@ -238,24 +238,24 @@
 {
     using code = absl::StatusCode;
     const auto [bytes, read, write] = GENERATE(table<std::string, code, code>({
-        {httpAnswer(200, "{}"), code::kDataLoss, code::kUnknown},
-        {httpAnswer(200, "[1]"), code::kDataLoss, code::kUnknown},
-        {httpAnswer(200, "{\"version\""), code::kDataLoss, code::kUnknown},
-        {httpAnswer(200, R"({"key":"a","version":"1","value":"x"})"), code::kDataLoss,
+        {httpResponse(200, "{}"), code::kDataLoss, code::kUnknown},
+        {httpResponse(200, "[1]"), code::kDataLoss, code::kUnknown},
+        {httpResponse(200, "{\"version\""), code::kDataLoss, code::kUnknown},
+        {httpResponse(200, R"({"key":"a","version":"1","value":"x"})"), code::kDataLoss,
          code::kUnknown},
-        {httpAnswer(200, R"({"key":"a","version":-1,"value":"x"})"), code::kDataLoss,
+        {httpResponse(200, R"({"key":"a","version":-1,"value":"x"})"), code::kDataLoss,
          code::kUnknown},
-        {httpAnswer(200, R"({"key":"b","version":1,"value":"x"})"), code::kDataLoss, code::kOk},
-        {httpAnswer(200, R"({"key":"a","version":1,"value":2})"), code::kDataLoss, code::kOk},
-        {httpAnswer(200, R"({"key":"a","version":1,"value":"x"})"), code::kOk, code::kOk},
-        {httpAnswer(200, R"({"key":"a","version":1,"value":"x"})", 900), code::kUnavailable,
+        {httpResponse(200, R"({"key":"b","version":1,"value":"x"})"), code::kDataLoss, code::kOk},
+        {httpResponse(200, R"({"key":"a","version":1,"value":2})"), code::kDataLoss, code::kOk},
+        {httpResponse(200, R"({"key":"a","version":1,"value":"x"})"), code::kOk, code::kOk},
+        {httpResponse(200, R"({"key":"a","version":1,"value":"x"})", 900), code::kUnavailable,
          code::kUnknown},
-        {httpAnswer(302, "{}"), code::kDataLoss, code::kUnknown},
-        {httpAnswer(400, "{}"), code::kInvalidArgument, code::kInvalidArgument},
-        {httpAnswer(409, "{}"), code::kAborted, code::kAborted},
-        {httpAnswer(429, "{}"), code::kResourceExhausted, code::kResourceExhausted},
-        {httpAnswer(500, "{}"), code::kUnavailable, code::kUnknown},
-        {httpAnswer(503, "{}"), code::kUnavailable, code::kUnavailable},
+        {httpResponse(302, "{}"), code::kDataLoss, code::kUnknown},
+        {httpResponse(400, "{}"), code::kInvalidArgument, code::kInvalidArgument},
+        {httpResponse(409, "{}"), code::kAborted, code::kAborted},
+        {httpResponse(429, "{}"), code::kResourceExhausted, code::kResourceExhausted},
+        {httpResponse(500, "{}"), code::kUnavailable, code::kUnknown},
+        {httpResponse(503, "{}"), code::kUnavailable, code::kUnavailable},
         {std::string("SSH-2.0-x\r\n\r\n"), code::kDataLoss, code::kUnknown},
         {std::string(), code::kUnavailable, code::kUnknown},
     }));
--- a/src/persimmonrail/ownership/engine_leases.cpp
+++ b/src/persimmonrail/ownership/engine_leases.cpp
@@ -109,7 +109,7 @@
     lease.attempt = ++m_lastAttempt;
     lease.acks.clear();
     lease.superseded.clear();
-    lease.answered.clear();
+    lease.replied.clear();
     lease.heldByOther.clear();
     lease.leaseEnd = steady_time::min();
     lease.granted = false;
@@ -150,9 +150,9 @@
     } else if (reply.ok() && reply->has_claim()) {
         onRefused(*lease, witness, reply->claim().verdict(), now);
     }
-    lease->answered.insert(witness);
+    lease->replied.insert(witness);
     if (lease->phase == lease_phase::Claiming
-        && lease->answered.size() >= allWitnesses(lease->known.record).size()) {
+        && lease->replied.size() >= allWitnesses(lease->known.record).size()) {
         giveUpClaim(*lease, now);
     }
 }
@@ -161,14 +161,14 @@
 {
     // Witnesses whose answer is lost may have granted the claim too.
     for (const auto &witness : allWitnesses(lease.known.record)) {
-        if (lease.acks.contains(witness) || !lease.answered.contains(witness)) {
+        if (lease.acks.contains(witness) || !lease.replied.contains(witness)) {
             sendRelease(lease, witness, lease.term);
         }
     }
     log(lease, "claim-failed",
         absl::StrFormat("%d granted, %d held by others, %d superseded, %d answered of %d",
                         lease.acks.size(), lease.heldByOther.size(), lease.superseded.size(),
-                        lease.answered.size(), allWitnesses(lease.known.record).size()));
+                        lease.replied.size(), allWitnesses(lease.known.record).size()));
     lease.phase = lease_phase::Idle;
     lease.attempt = ++m_lastAttempt;
     for (const auto &witness : lease.heldByOther) {
--- a/src/persimmonrail/ownership/engine_records.cpp
+++ b/src/persimmonrail/ownership/engine_records.cpp
@@ -83,13 +83,13 @@
         // The token of a move was taken when the drain began.
         const bool isMove = change.kind == write_kind::Move;
         const bool isUrgent = change.kind == write_kind::Tenure;
-        if (isMove         ? m_pacer.isBackingOff(now)
-                : isUrgent ? !m_pacer.isReady(now)
-                           : !m_pacer.isReadyForDeferrable(now)) {
+        if (isMove         ? m_writeLimiter.isBackingOff(now)
+                : isUrgent ? !m_writeLimiter.isReady(now)
+                           : !m_writeLimiter.isReadyForDeferrable(now)) {
             continue;
         }
         if (!isMove) {
-            m_pacer.take(now);
+            m_writeLimiter.take(now);
         }
         writeRecord(*lease, std::move(change), now);
     }
@@ -97,7 +97,7 @@
     for (auto &[partition, lease] : m_leases) {
         const bool isDue = lease.lastRead == steady_time::min() || lease.writePending
             || now - lease.lastRead >= readInterval;
-        if (lease.readWanted && !lease.readPending && isDue && m_pacer.isReady(now)) {
+        if (lease.readWanted && !lease.readPending && isDue && m_writeLimiter.isReady(now)) {
             readBack(lease, now);
         }
     }
@@ -220,7 +220,7 @@
     const bool isRecorded = isOwner(lease) && record.term == lease.term && now < lease.leaseEnd;
     if (lease.draining) {
         const bool isStuck = lease.writePending ? now - lease.writtenAt > moveWriteTimeout
-                                                : m_pacer.isBackingOff(now);
+                                                : m_writeLimiter.isBackingOff(now);
         if (!isRecorded || isStuck || !isLive(lease.moveTarget)) {
             suspendDrain(lease, now);
         }
@@ -230,17 +230,18 @@
     if (m_shuttingDown) {
         const auto it = std::find_if(record.standbys.begin(), record.standbys.end(),
                                      [&](const instance_id &id) { return isLive(id); });
-        if (!isRecorded || it == record.standbys.end() || !m_pacer.isReady(now)) {
+        if (!isRecorded || it == record.standbys.end() || !m_writeLimiter.isReady(now)) {
             drainForRelease(lease, "shutdown without a hand-over", now);
             return;
         }
         target = *it;
-    } else if (!m_pacer.isReadyForDeferrable(now) || lease.writePending || lease.readWanted) {
+    } else if (!m_writeLimiter.isReadyForDeferrable(now) || lease.writePending
+               || lease.readWanted) {
         return;
     }
     if (isRecorded && !target.isNull() && target != m_self && isLive(target)) {
         // A partition drained without a token would wait for its write unserved.
-        m_pacer.take(now);
+        m_writeLimiter.take(now);
         lease.draining = true;
         lease.moveTarget = target;
         m_table.stop(record.partition);
@@ -272,10 +273,10 @@
     m_hooks.putRecord(placementKey(partition), lease.known.version, text,
                       [this, alive = std::weak_ptr<int>(m_alive), partition,
                        change = std::move(change)](const absl::StatusOr<uint64_t> &version,
-                                                   steady_time answeredAt) {
+                                                   steady_time respondedAt) {
                           if (!alive.expired()) {
-                              onWritten(partition, change, version, answeredAt);
-                              deliverLocal(answeredAt);
+                              onWritten(partition, change, version, respondedAt);
+                              deliverLocal(respondedAt);
                           }
                       });
 }
@@ -288,7 +289,7 @@
         return;
     }
     if (version.ok()) {
-        m_pacer.onAnswered();
+        m_writeLimiter.onResponse();
         lease->writePending = false;
         log(*lease, "record", change.reason);
         adoptRecord(*lease, {change.record, *version}, now);
@@ -297,7 +298,7 @@
     log(*lease, "record-failed", absl::StatusCodeToString(version.status().code()));
     if (absl::IsUnavailable(version.status()) || absl::IsResourceExhausted(version.status())) {
         // The write had no effect.
-        m_pacer.onRefused(now);
+        m_writeLimiter.onRefused(now);
         lease->writePending = false;
     } else {
         // Another writer was first, or the write may have taken effect although its answer is lost.
@@ -336,7 +337,7 @@
 
 void ownership_engine::state::readBack(lease_state &lease, steady_time now)
 {
-    m_pacer.take(now);
+    m_writeLimiter.take(now);
     lease.readPending = true;
     lease.lastRead = now;
     const auto partition = lease.known.record.partition;
@@ -359,10 +360,10 @@
     }
     lease->readPending = false;
     if (!object.ok() && !absl::IsNotFound(object.status())) {
-        m_pacer.onRefused(now);
+        m_writeLimiter.onRefused(now);
         return;
     }
-    m_pacer.onAnswered();
+    m_writeLimiter.onResponse();
     lease->readWanted = false;
     lease->writePending = false;
     if (!object.ok() || object->deleted) {
@@ -413,8 +414,8 @@
         }
         lease.recoverableSince = lease.recoverableSince.value_or(now);
         if (now - *lease.recoverableSince >= *delay && !lease.writePending && !lease.readWanted
-            && m_pacer.isReady(now)) {
-            m_pacer.take(now);
+            && m_writeLimiter.isReady(now)) {
+            m_writeLimiter.take(now);
             writeRecord(lease, {write_kind::Recovery, *std::move(record), reason}, now);
         }
     }
@@ -442,7 +443,7 @@
 ownership_engine::state::recoveryDelay(const placement_record &record) const
 {
     constexpr milliseconds successorDelay{200};
-    constexpr milliseconds firstStandbyDelay{400};
+    constexpr milliseconds initialStandbyDelay{400};
     if (record.owner == m_self) {
         return milliseconds(0);
     }
@@ -450,7 +451,7 @@
         return successorDelay;
     }
     if (const auto position = standbyPosition(record)) {
-        return firstStandbyDelay + m_timing.standbyDelay * static_cast<int>(*position);
+        return initialStandbyDelay + m_timing.standbyDelay * static_cast<int>(*position);
     }
     if (isAbandoned(record) && fallbackOwner(record) == m_self) {
         return successorDelay;
--- a/src/persimmonrail/ownership/engine_state.h
+++ b/src/persimmonrail/ownership/engine_state.h
@@ -21,7 +21,7 @@
 {
 public:
     state(instance_id self, ownership_hooks hooks, serving_table &table, lease_timing timing,
-          write_pacer::limits limits, uint64_t seed);
+          write_rate_limiter::limits limits, uint64_t seed);
 
     void tick(steady_time now);
     void onView(std::shared_ptr<const fleet_view> view, steady_time now);
@@ -128,7 +128,7 @@
     serving_table &m_table;
     lease_timing m_timing;
     lease_witness m_witness;
-    write_pacer m_pacer;
+    write_rate_limiter m_writeLimiter;
     witness_evidence m_evidence;
     std::mt19937_64 m_random;
     std::shared_ptr<const fleet_view> m_view = std::make_shared<fleet_view>();
--- a/src/persimmonrail/ownership/lease_state.h
+++ b/src/persimmonrail/ownership/lease_state.h
@@ -48,7 +48,7 @@
     // Witnesses that refused the current term because a higher one exists.
     std::set<instance_id> superseded;
     // Witnesses that answered the current claim.
-    std::set<instance_id> answered;
+    std::set<instance_id> replied;
     // Witnesses that refused the current claim because of another holder's lease.
     std::set<instance_id> heldByOther;
     steady_time leaseEnd = steady_time::min();
--- a/src/persimmonrail/ownership/lease_timing.h
+++ b/src/persimmonrail/ownership/lease_timing.h
@@ -19,7 +19,7 @@
     // earlier owner, a standby by then, claims first and undoes the move.
     milliseconds recordedOwnerHeadStart{500};
     // No request is handed to the upstream when less than this remains of the lease.
-    milliseconds handOverGuard{20};
+    milliseconds dispatchMargin{20};
     // A witness that acknowledged nothing for this long is replaced.
     milliseconds witnessSilence{5000};
     // A claim without a majority by then is given up. Several round trips within a region.
--- a/src/persimmonrail/ownership/ownership_engine.cpp
+++ b/src/persimmonrail/ownership/ownership_engine.cpp
@@ -12,13 +12,14 @@
 namespace persimmonrail {
 
 ownership_engine::state::state(instance_id self, ownership_hooks hooks, serving_table &table,
-                               lease_timing timing, write_pacer::limits limits, uint64_t seed)
+                               lease_timing timing, write_rate_limiter::limits limits,
+                               uint64_t seed)
     : m_self(std::move(self))
     , m_hooks(std::move(hooks))
     , m_table(table)
     , m_timing(timing)
     , m_witness(m_self, timing)
-    , m_pacer(limits, seed)
+    , m_writeLimiter(limits, seed)
     , m_evidence(timing)
     , m_random(seed + 1)
 { }
@@ -305,7 +306,7 @@
     return *this;
 }
 
-ownership_engine::builder &ownership_engine::builder::writeLimits(write_pacer::limits limits)
+ownership_engine::builder &ownership_engine::builder::writeLimits(write_rate_limiter::limits limits)
 {
     m_limits = limits;
     return *this;
--- a/src/persimmonrail/ownership/ownership_engine.h
+++ b/src/persimmonrail/ownership/ownership_engine.h
@@ -6,7 +6,7 @@
 #include "persimmonrail/objects/object_api.h"
 #include "persimmonrail/ownership/lease_timing.h"
 #include "persimmonrail/ownership/serving_table.h"
-#include "persimmonrail/ownership/write_pacer.h"
+#include "persimmonrail/ownership/write_rate_limiter.h"
 #include "persimmonrail/sync/fleet_view.h"
 
 #include <control.pb.h>
@@ -112,7 +112,7 @@
     // The table must outlive the engine.
     builder &servingTable(serving_table &table);
     builder &timing(lease_timing timing);
-    builder &writeLimits(write_pacer::limits limits);
+    builder &writeLimits(write_rate_limiter::limits limits);
     // Seed of the jitter.
     builder &seed(uint64_t seed);
     ownership_engine build();
@@ -122,7 +122,7 @@
     ownership_hooks m_hooks;
     serving_table *m_table = nullptr;
     lease_timing m_timing;
-    write_pacer::limits m_limits;
+    write_rate_limiter::limits m_limits;
     uint64_t m_seed = 1;
 };
 
--- a/src/persimmonrail/ownership/recovery.cpp
+++ b/src/persimmonrail/ownership/recovery.cpp
@@ -10,10 +10,10 @@
     : m_timing(timing)
 { }
 
-void witness_evidence::onPing(const instance_id &witness, const instance_id &answeredBy,
+void witness_evidence::onPing(const instance_id &witness, const instance_id &repliedBy,
                               milliseconds uptime)
 {
-    if (answeredBy.name == witness.name && answeredBy.incarnation != witness.incarnation
+    if (repliedBy.name == witness.name && repliedBy.incarnation != witness.incarnation
         && uptime > m_timing.lease + m_timing.driftMargin) {
         m_deadFrom[toString(witness)] = steady_time::min();
     }
--- a/src/persimmonrail/ownership/recovery.h
+++ b/src/persimmonrail/ownership/recovery.h
@@ -25,7 +25,7 @@
     // Takes the answer to a ping sent to the address of `witness`. An answer of another incarnation
     // that has run for longer than lease + drift margin proves that `witness` is dead and that
     // every lease it acknowledged has expired.
-    void onPing(const instance_id &witness, const instance_id &answeredBy, milliseconds uptime);
+    void onPing(const instance_id &witness, const instance_id &repliedBy, milliseconds uptime);
     // Takes the `retired` entries of a document; they count after lease + drift margin.
     void onDocument(const service_document &document, steady_time now);
     bool isDead(const instance_id &witness, steady_time now) const;
--- a/src/persimmonrail/ownership/serving_table.cpp
+++ b/src/persimmonrail/ownership/serving_table.cpp
@@ -137,7 +137,7 @@
         }
     }
     if (smallest == nullptr || smallest->second.stopped
-        || smallest->second.leaseEnd - m_timing.handOverGuard <= now) {
+        || smallest->second.leaseEnd - m_timing.dispatchMargin <= now) {
         return nullptr;
     }
     return smallest;
--- a/src/persimmonrail/ownership/tests/engine_shutdown_test.cpp
+++ b/src/persimmonrail/ownership/tests/engine_shutdown_test.cpp
@@ -56,7 +56,7 @@
         ownership_hooks hooks;
         hooks.send = [this](const instance_id &to, const wire::Request &request, milliseconds,
                             const ownership_hooks::reply_completion &done) {
-            m_pending.emplace_back([this, to, request, done] { done(answer(to, request), now); });
+            m_pending.emplace_back([this, to, request, done] { done(replyTo(to, request), now); });
         };
         hooks.putRecord = [](const std::string &, uint64_t, const std::string &,
                              const ownership_hooks::put_completion &) {};
@@ -68,7 +68,7 @@
         return hooks;
     }
 
-    wire::Reply answer(const instance_id &to, const wire::Request &request)
+    wire::Reply replyTo(const instance_id &to, const wire::Request &request)
     {
         auto &witness = m_witnesses.at(to);
         wire::Reply reply;
--- a/src/persimmonrail/ownership/tests/serving_table_test.cpp
+++ b/src/persimmonrail/ownership/tests/serving_table_test.cpp
@@ -1,5 +1,5 @@
 #include "persimmonrail/ownership/serving_table.h"
-#include "persimmonrail/ownership/write_pacer.h"
+#include "persimmonrail/ownership/write_rate_limiter.h"
 
 #include <catch2/catch.hpp>
 
@@ -89,21 +89,21 @@
 // Guards against a burst of writes when the platform returns.
 TEST_CASE("writes are paced and back off", "[ownership]")
 {
-    write_pacer pacer({}, 1);
+    write_rate_limiter limiter({}, 1);
     int burst = 0;
-    while (pacer.isReady(start) && burst < 100) {
-        pacer.take(start);
+    while (limiter.isReady(start) && burst < 100) {
+        limiter.take(start);
         ++burst;
     }
     CHECK(burst == 8);
-    CHECK(!pacer.isReady(after(900)));
-    CHECK(pacer.isReady(after(1000)));
+    CHECK(!limiter.isReady(after(900)));
+    CHECK(limiter.isReady(after(1000)));
     milliseconds longest{0};
     auto now = after(60000);
     for (int i = 0; i < 12; ++i) {
-        pacer.onRefused(now);
+        limiter.onRefused(now);
         auto waited = milliseconds(0);
-        while (pacer.isBackingOff(now + waited)) {
+        while (limiter.isBackingOff(now + waited)) {
             waited += milliseconds(1);
         }
         CHECK(waited >= milliseconds(125));
@@ -112,7 +112,7 @@
         now += waited;
     }
     CHECK(longest > milliseconds(5000));
-    pacer.onAnswered();
-    pacer.onRefused(now);
-    CHECK(!pacer.isBackingOff(now + milliseconds(251)));
+    limiter.onResponse();
+    limiter.onRefused(now);
+    CHECK(!limiter.isBackingOff(now + milliseconds(251)));
 }
--- a/src/persimmonrail/ownership/tests/simulation.h
+++ b/src/persimmonrail/ownership/tests/simulation.h
@@ -121,7 +121,7 @@
 
     void sendMessage(size_t from, const instance_id &to, const wire::Request &request,
                      milliseconds timeout, const ownership_hooks::reply_completion &done);
-    wire::Reply answer(node &receiver, const wire::Request &request);
+    wire::Reply replyTo(node &receiver, const wire::Request &request);
     void put(size_t from, const std::string &key, uint64_t expected, const std::string &text,
              const ownership_hooks::put_completion &done);
     absl::StatusOr<uint64_t> applyPut(const std::string &key, uint64_t expected,
--- a/src/persimmonrail/ownership/tests/simulation_environment.cpp
+++ b/src/persimmonrail/ownership/tests/simulation_environment.cpp
@@ -31,7 +31,7 @@
             continue;
         }
         onNode(receiver, m_now + delay(), [=, this](node &target) {
-            const auto reply = answer(target, request);
+            const auto reply = replyTo(target, request);
             if (!chance(m_lossRate) && !m_cuts.contains({receiver, from})) {
                 // The sender may have restarted since; its new process never sees the reply.
                 onNode(from, m_now + delay(), complete(reply));
@@ -40,7 +40,7 @@
     }
 }
 
-wire::Reply simulation::answer(node &receiver, const wire::Request &request)
+wire::Reply simulation::replyTo(node &receiver, const wire::Request &request)
 {
     wire::Reply reply;
     if (request.has_ping()) {
@@ -78,21 +78,21 @@
         return [this, done, version](node &writer) { done(version, localTime(writer)); };
     };
     at(m_now + between(1, 5), [=, this] {
-        const auto answered = m_now + between(1, 5);
+        const auto respondedAt = m_now + between(1, 5);
         if (!m_platformUp) {
-            onNode(from, answered, complete(absl::UnavailableError("platform is down")));
+            onNode(from, respondedAt, complete(absl::UnavailableError("platform is down")));
             return;
         }
         if (m_faults && chance(0.15)) {
             // The answer is lost; the write takes effect now, late or never.
-            onNode(from, answered + between(0, 300), complete(absl::UnknownError("no answer")));
+            onNode(from, respondedAt + between(0, 300), complete(absl::UnknownError("no answer")));
             if (chance(0.7)) {
                 at(m_now + (chance(0.5) ? between(0, 5) : between(5, 3000)),
                    [=, this] { (void)applyPut(key, expected, text); });
             }
             return;
         }
-        onNode(from, answered, complete(applyPut(key, expected, text)));
+        onNode(from, respondedAt, complete(applyPut(key, expected, text)));
     });
 }
 
--- a/src/persimmonrail/ownership/tests/write_reserve_test.cpp
+++ b/src/persimmonrail/ownership/tests/write_reserve_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/ownership/write_pacer.h"
+#include "persimmonrail/ownership/write_rate_limiter.h"
 
 #include <catch2/catch.hpp>
 
@@ -16,15 +16,15 @@
         int urgent;
     };
     const auto row = GENERATE(values<struct row>({{8, 4, 4, 4}, {8, 0, 8, 0}, {1, 4, 1, 0}}));
-    write_pacer pacer({.perSecond = 1, .burst = row.burst, .reserve = row.reserve}, 1);
+    write_rate_limiter limiter({.perSecond = 1, .burst = row.burst, .reserve = row.reserve}, 1);
     const steady_time now{milliseconds(1000)};
     int deferrable = 0;
-    for (; pacer.isReadyForDeferrable(now); ++deferrable) {
-        pacer.take(now);
+    for (; limiter.isReadyForDeferrable(now); ++deferrable) {
+        limiter.take(now);
     }
     int urgent = 0;
-    for (; pacer.isReady(now); ++urgent) {
-        pacer.take(now);
+    for (; limiter.isReady(now); ++urgent) {
+        limiter.take(now);
     }
     CHECK(deferrable == row.deferrable);
     CHECK(urgent == row.urgent);
--- a/src/persimmonrail/ownership/write_pacer.cpp
+++ b/src/persimmonrail/ownership/write_rate_limiter.cpp
@@ -1,47 +1,47 @@
-#include "persimmonrail/ownership/write_pacer.h"
+#include "persimmonrail/ownership/write_rate_limiter.h"
 
 #include <algorithm>
 
 namespace persimmonrail {
 
-write_pacer::write_pacer(limits limits, uint64_t seed)
+write_rate_limiter::write_rate_limiter(limits limits, uint64_t seed)
     : m_limits(limits)
     , m_random(seed)
     , m_tokens(limits.burst)
 { }
 
-bool write_pacer::isReady(steady_time now)
+bool write_rate_limiter::isReady(steady_time now)
 {
     refill(now);
     return m_tokens >= 1 && now >= m_blockedUntil;
 }
 
-bool write_pacer::isReadyForDeferrable(steady_time now)
+bool write_rate_limiter::isReadyForDeferrable(steady_time now)
 {
     return isReady(now) && m_tokens >= std::min(m_limits.reserve + 1, m_limits.burst);
 }
 
-void write_pacer::take(steady_time now)
+void write_rate_limiter::take(steady_time now)
 {
     refill(now);
     m_tokens -= 1;
 }
 
-void write_pacer::onRefused(steady_time now)
+void write_rate_limiter::onRefused(steady_time now)
 {
-    m_backoff = std::clamp(m_backoff * 2, m_limits.firstBackoff, m_limits.maxBackoff);
+    m_backoff = std::clamp(m_backoff * 2, m_limits.initialBackoff, m_limits.maxBackoff);
     // Half of the delay is random, so that instances do not retry in step after an outage.
     const auto half = m_backoff.count() / 2;
     std::uniform_int_distribution<milliseconds::rep> jitter(0, half);
     m_blockedUntil = now + milliseconds(half + jitter(m_random));
 }
 
-void write_pacer::onAnswered()
+void write_rate_limiter::onResponse()
 {
     m_backoff = milliseconds(0);
 }
 
-void write_pacer::refill(steady_time now)
+void write_rate_limiter::refill(steady_time now)
 {
     if (now <= m_refilledAt) {
         return;
--- a/src/persimmonrail/ownership/write_pacer.h
+++ b/src/persimmonrail/ownership/write_rate_limiter.h
@@ -9,7 +9,7 @@
 
 // Limits the rate of calls to the platform: a token bucket, and exponential backoff with jitter
 // while the platform refuses calls. Not thread safe.
-class write_pacer
+class write_rate_limiter
 {
 public:
     struct limits
@@ -19,11 +19,11 @@
         // Tokens that only urgent calls may take, enough for the tenures of one failover. While
         // they wait, callers are still sent to the lost owner.
         double reserve = 4;
-        milliseconds firstBackoff{250};
+        milliseconds initialBackoff{250};
         milliseconds maxBackoff{10000};
     };
 
-    write_pacer(limits limits, uint64_t seed);
+    write_rate_limiter(limits limits, uint64_t seed);
 
     // Whether a call is admitted at `now`.
     bool isReady(steady_time now);
@@ -36,7 +36,7 @@
     // Delays the next call after ResourceExhausted or Unavailable.
     void onRefused(steady_time now);
     // Ends the backoff after a call that the platform answered.
-    void onAnswered();
+    void onResponse();
 
 private:
     void refill(steady_time now);
--- a/src/persimmonrail/relay/exchange_codec.h
+++ b/src/persimmonrail/proxy/exchange_codec.h
@@ -13,19 +13,19 @@
 namespace persimmonrail {
 
 // What a caller states in the head of a request.
-struct caller_call
+struct caller_fields
 {
     // Empty if the caller names none.
     std::string requestId;
     // How long the caller waits; nothing if it does not say.
-    std::optional<milliseconds> patience;
+    std::optional<milliseconds> timeout;
     std::optional<shard_key> key;
     // A field is present and can't be read.
     bool isMalformed = false;
 };
 
 // What an upstream is told about a request.
-struct upstream_call
+struct upstream_fields
 {
     // The upstream that is to run it; any other refuses.
     std::string upstream;
@@ -34,7 +34,7 @@
     std::string callerService;
 };
 
-enum class answer_kind {
+enum class response_kind {
     // The upstream's own answer to this request.
     Genuine,
     // It states that it did not run the request.
@@ -51,10 +51,11 @@
 // are thread safe.
 struct exchange_codec
 {
-    std::function<caller_call(const Poco::Net::HTTPRequest &request)> readCall;
-    std::function<void(Poco::Net::HTTPRequest &request, const upstream_call &call)> addressUpstream;
-    std::function<answer_kind(const Poco::Net::HTTPResponse &head, const std::string &requestId)>
-        classifyAnswer;
+    std::function<caller_fields(const Poco::Net::HTTPRequest &request)> readCall;
+    std::function<void(Poco::Net::HTTPRequest &request, const upstream_fields &call)>
+        addressUpstream;
+    std::function<response_kind(const Poco::Net::HTTPResponse &head, const std::string &requestId)>
+        classifyResponse;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/relay/transfer_turns.cpp
+++ b/src/persimmonrail/proxy/large_response_queue.cpp
@@ -1,17 +1,17 @@
-#include "persimmonrail/relay/transfer_turns.h"
+#include "persimmonrail/proxy/large_response_queue.h"
 
 namespace persimmonrail {
 
-transfer_turns::transfer_turns(transfer_turns_options options)
+large_response_queue::large_response_queue(large_response_queue_options options)
     : m_options(options)
 { }
 
-std::unique_ptr<transfer_turns::turn> transfer_turns::enter()
+std::unique_ptr<large_response_queue::permit> large_response_queue::enter()
 {
     std::unique_lock lock(m_mutex);
     const uint64_t ticket = ++m_lastTicket;
     m_waiting.push_back(ticket);
-    const steady_time until = std::chrono::steady_clock::now() + m_options.longestWait;
+    const steady_time until = std::chrono::steady_clock::now() + m_options.maxWait;
     const bool isTurn = m_changed.wait_until(
         lock, until, [&] { return !m_isTaken && m_waiting.front() == ticket; });
     std::erase(m_waiting, ticket);
@@ -20,10 +20,11 @@
         return nullptr;
     }
     m_isTaken = true;
-    return std::make_unique<turn>(*this, std::chrono::steady_clock::now() + m_options.longestTurn);
+    return std::make_unique<permit>(*this,
+                                    std::chrono::steady_clock::now() + m_options.maxPermitTime);
 }
 
-void transfer_turns::leave()
+void large_response_queue::leave()
 {
     const std::lock_guard lock(m_mutex);
     m_isTaken = false;
--- a/src/persimmonrail/relay/link_pacer.cpp
+++ b/src/persimmonrail/proxy/link_pacer.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/link_pacer.h"
+#include "persimmonrail/proxy/link_pacer.h"
 
 #include <algorithm>
 
--- a/src/persimmonrail/relay/overload_throttle.cpp
+++ b/src/persimmonrail/proxy/overload_throttle.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/overload_throttle.h"
+#include "persimmonrail/proxy/overload_throttle.h"
 
 #include <algorithm>
 #include <cmath>
@@ -54,8 +54,7 @@
     fade(known, now);
     const double demand = known.accepted + known.refused + known.keptBack;
     const double excess = demand - m_options.sentPerAccepted * known.accepted;
-    if (known.refused + known.keptBack < m_options.leastRefusals
-        || drawn >= excess / (demand + 1)) {
+    if (known.refused + known.keptBack < m_options.minRefusals || drawn >= excess / (demand + 1)) {
         return std::nullopt;
     }
     ++known.keptBack;
--- a/src/persimmonrail/relay/overload_throttle.h
+++ b/src/persimmonrail/proxy/overload_throttle.h
@@ -18,7 +18,7 @@
     // Time after which an observation has lost most of its weight.
     milliseconds memory{500};
     // Refusals that must be remembered before anything is kept back.
-    double leastRefusals = 2;
+    double minRefusals = 2;
 };
 
 // Keeps back requests that an overloaded upstream would very likely refuse, so that the daemon
--- a/src/persimmonrail/relay/peer_link.cpp
+++ b/src/persimmonrail/proxy/peer_client.cpp
@@ -1,8 +1,8 @@
-#include "persimmonrail/relay/peer_link.h"
+#include "persimmonrail/proxy/peer_client.h"
 
 #include "persimmonrail/base/text.h"
 #include "persimmonrail/gateway/caller_sink.h"
-#include "persimmonrail/relay/peer_fields.h"
+#include "persimmonrail/proxy/peer_fields.h"
 
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_cat.h>
@@ -30,7 +30,7 @@
 // Large answers leave in pieces of this size, so that a small one waits for one piece at most.
 constexpr size_t pacedBytes = 16 * 1024;
 // Shorter pauses are not worth waking up for; a fast link needs none.
-constexpr milliseconds leastPause{2};
+constexpr milliseconds minPause{2};
 
 enum class probe_result { InFlight, Lost, Silent };
 
@@ -39,12 +39,12 @@
     connection_pool_options options;
     options.connectTime = probeTimeout;
     http_client fresh(std::make_shared<connection_pool>(options));
-    const auto answer = simpleRequest(fresh, address, "GET", relayInFlightPath + requestId, "",
-                                      std::chrono::steady_clock::now() + probeTimeout);
-    if (!answer.ok()) {
+    const auto response = simpleRequest(fresh, address, "GET", proxyInFlightPath + requestId, "",
+                                        std::chrono::steady_clock::now() + probeTimeout);
+    if (!response.ok()) {
         return probe_result::Silent;
     }
-    return answer->status == 404 ? probe_result::Lost : probe_result::InFlight;
+    return response->status == 404 ? probe_result::Lost : probe_result::InFlight;
 }
 
 std::string milliText(std::chrono::nanoseconds time)
@@ -52,7 +52,7 @@
     return absl::StrCat(std::chrono::duration_cast<milliseconds>(time).count());
 }
 
-void writeFields(Poco::Net::HTTPRequest &message, const relay_request &request, steady_time now)
+void writeFields(Poco::Net::HTTPRequest &message, const proxied_request &request, steady_time now)
 {
     removeOwnFields(message);
     message.set(requestIdHeader, request.requestId);
@@ -65,7 +65,7 @@
     message.set(rankHeader, absl::StrCat(request.rank));
     message.set(repeatableHeader, request.repeatable ? "1" : "0");
     message.set(deadlineHeader, milliText(request.deadline - now));
-    message.set(targetLeftHeader, milliText(request.target - now));
+    message.set(targetLeftHeader, milliText(request.objectiveEnd - now));
     if (request.key) {
         message.set(shardKeyHeader, absl::StrCat(*request.key));
     }
@@ -78,11 +78,11 @@
 }
 
 // Reads what a peer says of a request that no upstream answered.
-void readRefusal(const Poco::Net::HTTPResponse &head, relay_result &result)
+void readRefusal(const Poco::Net::HTTPResponse &head, proxy_result &result)
 {
     const std::string outcome = head.get(outcomeHeader, "");
     result.reason =
-        parseRelayReason(head.get(reasonHeader, "")).value_or(relay_reason::BrokenAnswer);
+        parseProxyReason(head.get(reasonHeader, "")).value_or(proxy_reason::BrokenResponse);
     int64_t retryAfter = 0;
     if (readNumber(head, retryAfterHeader, retryAfter)) {
         result.retryAfter = milliseconds(std::clamp<int64_t>(retryAfter, 0, 60'000));
@@ -90,20 +90,20 @@
     result.outcome = outcome == toString(request_outcome::NotRun) ? request_outcome::NotRun
                                                                   : request_outcome::Unknown;
     result.hasArrived = result.outcome == request_outcome::Unknown
-        || result.reason == relay_reason::UpstreamRefused
-        || result.reason == relay_reason::KeyNotHeld;
+        || result.reason == proxy_reason::UpstreamRefused
+        || result.reason == proxy_reason::KeyNotHeld;
 }
 
 } // namespace
 
-peer_link::peer_link()
+peer_client::peer_client()
     : m_pool(std::make_shared<connection_pool>(connection_pool_options{
         maxIdlePerPeer, maxIdleInAll, peerIdleTime, peerFreshTime, peerConnectTime}))
     , m_client(m_pool)
 { }
 
-relay_result peer_link::forward(const relay_request &request, const std::string &peerAddress,
-                                server_exchange &exchange, answer_sink &sink)
+proxy_result peer_client::forward(const proxied_request &request, const std::string &peerAddress,
+                                  server_exchange &exchange, response_sink &sink)
 {
     client_request call;
     call.address = peerAddress;
@@ -118,7 +118,7 @@
     call.repeatable = request.repeatable;
     call.deadline = request.deadline;
     call.caller = &exchange.connection();
-    call.wanted = [](const Poco::Net::HTTPResponse &head) {
+    call.acceptsResponse = [](const Poco::Net::HTTPResponse &head) {
         return head.get(outcomeHeader, "") == toString(request_outcome::Run);
     };
     call.progressTimeout = progressTimeout;
@@ -132,14 +132,15 @@
             || (probed == probe_result::Silent && request.repeatable);
     };
     const exchange_result exchanged = m_client.exchange(call, sink);
-    relay_result result;
-    result.answerStarted = exchanged.answerStarted;
-    result.callerGone = exchanged.sinkGone || exchanged.state == exchange_state::CallerGone;
+    proxy_result result;
+    result.responseStarted = exchanged.responseStarted;
+    result.callerDisconnected =
+        exchanged.sinkGone || exchanged.state == exchange_state::CallerDisconnected;
     result.outcome = exchanged.anySent ? request_outcome::Unknown : request_outcome::NotRun;
     result.hasArrived = exchanged.anySent;
     result.queue = parseQueueReport(exchanged.head.get(queueHeader, ""));
     switch (exchanged.state) {
-    case exchange_state::Whole:
+    case exchange_state::Complete:
         result.outcome = request_outcome::Run;
         result.status = exchanged.head.getStatus();
         break;
@@ -147,33 +148,33 @@
         readRefusal(exchanged.head, result);
         break;
     case exchange_state::NotSent:
-        result.reason = exchanged.deadlinePassed ? relay_reason::DeadlineBeforeSend
-                                                 : relay_reason::PeerUnreachable;
+        result.reason = exchanged.deadlinePassed ? proxy_reason::DeadlineBeforeSend
+                                                 : proxy_reason::PeerUnreachable;
         break;
     case exchange_state::TimedOut:
-        result.reason = relay_reason::DeadlineExceeded;
+        result.reason = proxy_reason::DeadlineExceeded;
         break;
     case exchange_state::Silent:
-        result.reason = relay_reason::SilentConnection;
+        result.reason = proxy_reason::SilentConnection;
         break;
     case exchange_state::Truncated:
-        result.reason = relay_reason::BrokenAnswer;
+        result.reason = proxy_reason::BrokenResponse;
         break;
-    case exchange_state::CallerGone:
+    case exchange_state::CallerDisconnected:
     case exchange_state::BadRequestBody:
-        result.reason = relay_reason::CallerGone;
+        result.reason = proxy_reason::CallerDisconnected;
         break;
     default:
-        result.reason = relay_reason::NoAnswer;
+        result.reason = proxy_reason::NoResponse;
         break;
     }
     return result;
 }
 
-absl::StatusOr<relay_request> readPeerRequest(const Poco::Net::HTTPRequest &message,
-                                              steady_time now)
+absl::StatusOr<proxied_request> readPeerRequest(const Poco::Net::HTTPRequest &message,
+                                                steady_time now)
 {
-    relay_request request;
+    proxied_request request;
     request.message = message;
     request.requestId = message.get(requestIdHeader, "");
     request.service = message.get(serviceHeader, "");
@@ -194,7 +195,7 @@
     }
     request.objective = milliseconds(objective);
     request.deadline = now + milliseconds(deadlineLeft);
-    request.target = now + milliseconds(targetLeft);
+    request.objectiveEnd = now + milliseconds(targetLeft);
     if (message.has(shardKeyHeader)) {
         shard_key key = 0;
         if (!readNumber(message, shardKeyHeader, key) || key > lastKey) {
@@ -207,7 +208,7 @@
     return request;
 }
 
-void answerPeer(server_exchange &exchange, const relay_result &result)
+void respondToPeer(server_exchange &exchange, const proxy_result &result)
 {
     Poco::Net::HTTPResponse head(
         static_cast<Poco::Net::HTTPResponse::HTTPStatus>(statusFor(result.reason, result.outcome)));
@@ -219,81 +220,81 @@
     if (result.queue) {
         head.set(queueHeader, encodeQueueReport(*result.queue));
     }
-    exchange.answer(head, "");
+    exchange.respond(head, "");
 }
 
-relay_sink::relay_sink(server_exchange &exchange,
+proxy_sink::proxy_sink(server_exchange &exchange,
                        std::function<void(Poco::Net::HTTPResponse &head)> decorate,
-                       link_outlet *outlet, std::string route)
+                       outbound_link *outbound, std::string route)
     : m_exchange(exchange)
     , m_decorate(std::move(decorate))
-    , m_outlet(outlet)
+    , m_outbound(outbound)
     , m_route(std::move(route))
 { }
 
-relay_sink::~relay_sink()
+proxy_sink::~proxy_sink()
 {
     if (m_left > 0) {
-        m_outlet->pacer.abandon(m_left);
+        m_outbound->pacer.abandon(m_left);
     }
 }
 
-void relay_sink::announce(size_t bytes)
+void proxy_sink::announce(size_t bytes)
 {
-    m_isLarge = m_outlet != nullptr && m_outlet->turns.isLarge(bytes);
+    m_isLarge = m_outbound != nullptr && m_outbound->queue.isLarge(bytes);
     if (m_isLarge) {
         m_left = bytes;
-        m_outlet->pacer.begin(m_route, bytes);
-        m_turn = m_outlet->turns.enter();
+        m_outbound->pacer.begin(m_route, bytes);
+        m_permit = m_outbound->queue.enter();
     }
 }
 
-bool relay_sink::awaitLink(size_t bytes)
+bool proxy_sink::awaitLink(size_t bytes)
 {
     const steady_time now = std::chrono::steady_clock::now();
-    const steady_time start = m_outlet->pacer.reserve(bytes, now);
+    const steady_time start = m_outbound->pacer.reserve(bytes, now);
     m_left -= std::min(m_left, bytes);
-    if (m_turn != nullptr && m_turn->isOver(now)) {
-        m_turn.reset();
+    if (m_permit != nullptr && m_permit->isOver(now)) {
+        m_permit.reset();
     }
-    return start - now < leastPause || !m_exchange.connection().waitClosed(start);
+    return start - now < minPause || !m_exchange.connection().waitClosed(start);
 }
 
-bool relay_sink::send(std::string_view bytes)
+bool proxy_sink::send(std::string_view bytes)
 {
     while (m_isLarge && bytes.size() > pacedBytes) {
-        if (!awaitLink(pacedBytes) || !m_exchange.writeAnswer(bytes.substr(0, pacedBytes))) {
+        if (!awaitLink(pacedBytes) || !m_exchange.writeResponse(bytes.substr(0, pacedBytes))) {
             return false;
         }
         bytes.remove_prefix(pacedBytes);
     }
-    return (!m_isLarge || awaitLink(bytes.size())) && m_exchange.writeAnswer(bytes);
+    return (!m_isLarge || awaitLink(bytes.size())) && m_exchange.writeResponse(bytes);
 }
 
-bool relay_sink::begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
-                       std::string_view first, bool whole)
+bool proxy_sink::begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
+                       std::string_view first, bool isComplete)
 {
-    Poco::Net::HTTPResponse answer(head);
-    removeOwnFields(answer);
-    removeConnectionFields(answer);
+    Poco::Net::HTTPResponse response(head);
+    removeOwnFields(response);
+    removeConnectionFields(response);
     if (m_decorate) {
-        m_decorate(answer);
+        m_decorate(response);
     }
     const body_framing sent =
-        whole ? body_framing{body_framing::kind::Length, first.size()} : framing;
+        isComplete ? body_framing{body_framing::kind::Length, first.size()} : framing;
     announce(sent.type == body_framing::kind::Length ? sent.length : first.size());
-    return m_exchange.beginAnswer(answer, sent) && send(first) && (!whole || finish());
+    return m_exchange.beginResponse(response, sent) && send(first) && (!isComplete || finish());
 }
 
-bool relay_sink::write(std::string_view piece)
+bool proxy_sink::write(std::string_view piece)
 {
     return send(piece);
 }
 
-bool relay_sink::finish()
+bool proxy_sink::finish()
 {
-    const bool ended = m_exchange.endAnswer();
-    m_turn.reset();
+    const bool ended = m_exchange.endResponse();
+    m_permit.reset();
     return ended;
 }
 
--- a/src/persimmonrail/relay/peer_link.h
+++ b/src/persimmonrail/proxy/peer_client.h
@@ -2,9 +2,9 @@
 
 #include "persimmonrail/gateway/silent_peers.h"
 #include "persimmonrail/http/http_server.h"
-#include "persimmonrail/relay/link_pacer.h"
-#include "persimmonrail/relay/relay_types.h"
-#include "persimmonrail/relay/transfer_turns.h"
+#include "persimmonrail/proxy/large_response_queue.h"
+#include "persimmonrail/proxy/link_pacer.h"
+#include "persimmonrail/proxy/proxy_types.h"
 
 #include <absl/status/statusor.h>
 
@@ -14,16 +14,16 @@
 namespace persimmonrail {
 
 // Path under which a peer port tells whether a request is in flight there: 200 or 404.
-inline constexpr char relayInFlightPath[] = "/v1/requests/";
+inline constexpr char proxyInFlightPath[] = "/v1/requests/";
 
 // Passes requests to the peer ports of other daemons, and decodes them there. Thread safe.
-class peer_link
+class peer_client
 {
 public:
-    peer_link();
+    peer_client();
 
-    relay_result forward(const relay_request &request, const std::string &peerAddress,
-                         server_exchange &exchange, answer_sink &sink);
+    proxy_result forward(const proxied_request &request, const std::string &peerAddress,
+                         server_exchange &exchange, response_sink &sink);
     bool isSilent(std::string_view address, steady_time now) const
     {
         return m_silentPeers.contains(address, now);
@@ -36,33 +36,33 @@
 };
 
 // Decodes the fields that forward() has set. Errors: InvalidArgument.
-absl::StatusOr<relay_request> readPeerRequest(const Poco::Net::HTTPRequest &message,
-                                              steady_time now);
+absl::StatusOr<proxied_request> readPeerRequest(const Poco::Net::HTTPRequest &message,
+                                                steady_time now);
 // Answers a request of another daemon that got no answer from the upstream.
-void answerPeer(server_exchange &exchange, const relay_result &result);
+void respondToPeer(server_exchange &exchange, const proxy_result &result);
 
 // What large answers share on their way out of this host.
-struct link_outlet
+struct outbound_link
 {
-    transfer_turns turns;
+    large_response_queue queue;
     link_pacer pacer;
 };
 
 // Passes an answer on to a requester. Used by one thread.
-class relay_sink : public answer_sink
+class proxy_sink : public response_sink
 {
 public:
-    // `decorate` may set fields of the head before it is sent; may be empty. With `outlet`, which
+    // `decorate` may set fields of the head before it is sent; may be empty. With `outbound`, which
     // must outlive the object, a large answer of `route` waits for its turn and is paced.
-    relay_sink(server_exchange &exchange,
+    proxy_sink(server_exchange &exchange,
                std::function<void(Poco::Net::HTTPResponse &head)> decorate,
-               link_outlet *outlet = nullptr, std::string route = {});
-    relay_sink(const relay_sink &) = delete;
-    relay_sink &operator=(const relay_sink &) = delete;
-    ~relay_sink() override;
+               outbound_link *outbound = nullptr, std::string route = {});
+    proxy_sink(const proxy_sink &) = delete;
+    proxy_sink &operator=(const proxy_sink &) = delete;
+    ~proxy_sink() override;
 
     bool begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
-               std::string_view first, bool whole) override;
+               std::string_view first, bool isComplete) override;
     bool write(std::string_view piece) override;
     bool finish() override;
 
@@ -75,9 +75,9 @@
 
     server_exchange &m_exchange;
     const std::function<void(Poco::Net::HTTPResponse &head)> m_decorate;
-    link_outlet *m_outlet;
+    outbound_link *m_outbound;
     const std::string m_route;
-    std::unique_ptr<transfer_turns::turn> m_turn;
+    std::unique_ptr<large_response_queue::permit> m_permit;
     bool m_isLarge = false;
     // Announced to the outlet and not sent yet.
     size_t m_left = 0;
--- a/src/persimmonrail/relay/relay_reason.h
+++ b/src/persimmonrail/proxy/proxy_reason.h
@@ -8,7 +8,7 @@
 namespace persimmonrail {
 
 // Why the system itself ends a request, or one attempt at it.
-enum class relay_reason {
+enum class proxy_reason {
     None,
     // The request did not run and will not.
     NoDesiredState,
@@ -34,21 +34,21 @@
     Quarantined,
     DeadlineBeforeSend,
     // The request may have run.
-    NoAnswer,
-    BrokenAnswer,
-    ForeignAnswer,
+    NoResponse,
+    BrokenResponse,
+    MismatchedResponse,
     DeadlineExceeded,
-    CallerGone,
+    CallerDisconnected,
     SilentConnection,
 };
 
 // The word used in logs, metrics and the header between daemons.
-std::string_view toString(relay_reason reason);
-std::optional<relay_reason> parseRelayReason(std::string_view word);
+std::string_view toString(proxy_reason reason);
+std::optional<proxy_reason> parseProxyReason(std::string_view word);
 
 // Status of the answer that the system gives for a reason.
-int statusFor(relay_reason reason, request_outcome outcome);
+int statusFor(proxy_reason reason, request_outcome outcome);
 // Whether the same request may succeed at another daemon, or here a little later.
-bool isPassing(relay_reason reason);
+bool isRetryable(proxy_reason reason);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/relay/relay_types.h
+++ b/src/persimmonrail/proxy/proxy_types.h
@@ -4,9 +4,9 @@
 #include "persimmonrail/base/request_outcome.h"
 #include "persimmonrail/fleet/upstream_member.h"
 #include "persimmonrail/keyspace/key_placement.h"
-#include "persimmonrail/relay/link_pacer.h"
-#include "persimmonrail/relay/relay_reason.h"
-#include "persimmonrail/relay/upstream_picker.h"
+#include "persimmonrail/proxy/link_pacer.h"
+#include "persimmonrail/proxy/proxy_reason.h"
+#include "persimmonrail/proxy/upstream_picker.h"
 
 #include <Poco/Net/HTTPRequest.h>
 
@@ -16,7 +16,7 @@
 namespace persimmonrail {
 
 // What the daemon beside the upstream needs to know of a request.
-struct relay_request
+struct proxied_request
 {
     // Method, target and fields for the upstream, without fields of one connection.
     Poco::Net::HTTPRequest message{Poco::Net::HTTPMessage::HTTP_1_1};
@@ -35,31 +35,31 @@
     steady_time deadline;
     // Time within which an answer has its full worth, and the moment at which that time ends.
     milliseconds objective{0};
-    steady_time target;
+    steady_time objectiveEnd;
     // What the answer is expected to take on the link of the upstream's host.
-    link_pacer::estimate answerLink;
+    link_pacer::estimate responseLink;
 };
 
 // What one attempt at a request came to.
-struct relay_result
+struct proxy_result
 {
     request_outcome outcome = request_outcome::NotRun;
-    relay_reason reason = relay_reason::None;
+    proxy_reason reason = proxy_reason::None;
     // Status of the upstream's answer, if there was one.
     int status = 0;
     // Time after which a refused request is worth another try; 0 if unknown.
     milliseconds retryAfter{0};
     // Bytes of an answer went to the requester, so no other answer can follow.
-    bool answerStarted = false;
-    bool callerGone = false;
+    bool responseStarted = false;
+    bool callerDisconnected = false;
     // The request reached the upstream, whether that ran it or refused it.
     bool hasArrived = false;
     std::optional<queue_report> queue;
 };
 
-inline relay_result notRun(relay_reason reason, milliseconds retryAfter = milliseconds(0))
+inline proxy_result notRun(proxy_reason reason, milliseconds retryAfter = milliseconds(0))
 {
-    relay_result result;
+    proxy_result result;
     result.reason = reason;
     result.retryAfter = retryAfter;
     return result;
--- a/src/persimmonrail/relay/releasing_sink.h
+++ b/src/persimmonrail/proxy/releasing_sink.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "persimmonrail/http/http_client.h"
-#include "persimmonrail/relay/slot_gate.h"
+#include "persimmonrail/proxy/slot_gate.h"
 
 #include <memory>
 #include <utility>
@@ -11,30 +11,30 @@
 // Passes an answer on and gives the slot of its request back when the answer begins: the upstream
 // has done its work then, and the time that a slow link takes for a large body is no time of the
 // upstream's. Used by one thread.
-class releasing_sink : public answer_sink
+class releasing_sink : public response_sink
 {
 public:
     // `next` must outlive the object.
-    releasing_sink(std::unique_ptr<slot_ticket> ticket, answer_sink &next)
+    releasing_sink(std::unique_ptr<slot_ticket> ticket, response_sink &next)
         : m_ticket(std::move(ticket))
         , m_next(next)
     { }
 
     bool begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
-               std::string_view first, bool whole) override
+               std::string_view first, bool isComplete) override
     {
         if (m_ticket != nullptr) {
             m_ticket->noteTypical();
             m_ticket.reset();
         }
-        return m_next.begin(head, framing, first, whole);
+        return m_next.begin(head, framing, first, isComplete);
     }
     bool write(std::string_view piece) override { return m_next.write(piece); }
     bool finish() override { return m_next.finish(); }
 
 private:
     std::unique_ptr<slot_ticket> m_ticket;
-    answer_sink &m_next;
+    response_sink &m_next;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/relay/relay_path.cpp
+++ b/src/persimmonrail/proxy/request_proxy.cpp
@@ -1,8 +1,8 @@
-#include "persimmonrail/relay/relay_path.h"
+#include "persimmonrail/proxy/request_proxy.h"
 
 #include "persimmonrail/base/text.h"
 #include "persimmonrail/gateway/caller_sink.h"
-#include "persimmonrail/relay/peer_fields.h"
+#include "persimmonrail/proxy/peer_fields.h"
 
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_cat.h>
@@ -17,18 +17,18 @@
 // With less time left, another attempt has hardly a chance.
 constexpr milliseconds minTimeForAttempt{15};
 // A request that says nothing of its caller's patience.
-constexpr milliseconds defaultPatience{30000};
-constexpr milliseconds leastRetryAfter{50};
+constexpr milliseconds defaultTimeout{30000};
+constexpr milliseconds minRetryAfter{50};
 
 steady_time clockNow()
 {
     return std::chrono::steady_clock::now();
 }
 
-bool isKeyMoving(relay_reason reason)
+bool isKeyMoving(proxy_reason reason)
 {
-    return reason == relay_reason::NotOwner || reason == relay_reason::OtherUpstream
-        || reason == relay_reason::KeyNotHeld || reason == relay_reason::Draining;
+    return reason == proxy_reason::NotOwner || reason == proxy_reason::OtherUpstream
+        || reason == proxy_reason::KeyNotHeld || reason == proxy_reason::Draining;
 }
 
 class in_flight_guard
@@ -50,19 +50,19 @@
 } // namespace
 
 // One request of a caller on its way through this daemon. Used by the thread of its connection.
-class relay_call
+class proxied_call
 {
 public:
-    relay_call(relay_path &path, server_exchange &exchange)
-        : m_path(path)
+    proxied_call(request_proxy &path, server_exchange &exchange)
+        : m_proxy(path)
         , m_exchange(exchange)
         , m_start(clockNow())
     { }
 
     void serve()
     {
-        relay_result result = prepare();
-        if (result.reason == relay_reason::None) {
+        proxy_result result = prepare();
+        if (result.reason == proxy_reason::None) {
             result = attemptUntilDone();
         }
         finish(result);
@@ -70,63 +70,63 @@
 
 private:
     // Reads the request and finds its route. A reason other than None ends the request.
-    relay_result prepare()
+    proxy_result prepare()
     {
-        const caller_call call = m_path.m_codec.readCall(m_exchange.request());
+        const caller_fields call = m_proxy.m_codec.readCall(m_exchange.request());
         m_request.requestId = call.requestId;
-        m_request.callerService = m_path.m_options.callerService;
+        m_request.callerService = m_proxy.m_options.callerService;
         m_request.message = m_exchange.request();
         removeConnectionFields(m_request.message);
         removeOwnFields(m_request.message);
-        m_table = m_path.m_hooks.routes();
+        m_table = m_proxy.m_hooks.routes();
         if (m_table == nullptr) {
-            return notRun(relay_reason::NoDesiredState, milliseconds(500));
+            return notRun(proxy_reason::NoDesiredState, milliseconds(500));
         }
         const auto &head = m_exchange.request();
         m_route = m_table->find(head.getHost(), head.getURI());
         if (m_route == nullptr) {
-            return notRun(relay_reason::NoRoute);
+            return notRun(proxy_reason::NoRoute);
         }
         if (call.isMalformed || call.requestId.empty()) {
-            return notRun(relay_reason::MalformedRequest);
+            return notRun(proxy_reason::MalformedRequest);
         }
-        m_request.service = choosePart(*m_route, m_path.draw()).service;
+        m_request.service = chooseTrafficShare(*m_route, m_proxy.draw()).service;
         const service_rule *rule = m_table->findService(m_request.service);
         if (rule != nullptr && rule->isKeyed) {
             if (!call.key) {
-                return notRun(relay_reason::MissingKey);
+                return notRun(proxy_reason::MissingKey);
             }
             m_request.key = call.key;
         }
         m_request.route = m_route->name;
-        m_request.objective = m_route->target;
+        m_request.objective = m_route->objective;
         m_request.rank = m_route->rank;
         m_request.repeatable = m_route->repeatable;
-        const milliseconds patience = call.patience.value_or(defaultPatience);
-        m_request.deadline = m_start + std::min(patience, m_route->timeout);
-        m_request.target = m_start + m_route->target;
+        const milliseconds timeout = call.timeout.value_or(defaultTimeout);
+        m_request.deadline = m_start + std::min(timeout, m_route->timeout);
+        m_request.objectiveEnd = m_start + m_route->objective;
         return {};
     }
 
-    relay_result attemptUntilDone()
+    proxy_result attemptUntilDone()
     {
-        auto &service = m_path.stateOf(m_request.service, m_start);
-        service.retries.noteFirstAttempt(m_start);
-        const steady_time ownerDeadline = m_start + m_path.m_options.ownerPatience;
-        relay_result result = notRun(relay_reason::NoUpstream);
+        auto &service = m_proxy.stateOf(m_request.service, m_start);
+        service.retries.recordFirstAttempt(m_start);
+        const steady_time ownerDeadline = m_start + m_proxy.m_options.ownerPatience;
+        proxy_result result = notRun(proxy_reason::NoUpstream);
         int arrivals = 0;
         for (;;) {
             const steady_time now = clockNow();
             // Also seen while the body of the request is unread.
             if (m_exchange.connection().waitClosed(now)) {
-                return callerGone(result);
+                return callerDisconnected(result);
             }
             if (arrivals > 0 && !service.retries.tryRetry(now)) {
                 m_budgetSpent = true;
                 return result;
             }
-            const relay_result attempted = attempt(service, now);
-            if (attempted.reason != relay_reason::NoUpstream || arrivals == 0) {
+            const proxy_result attempted = attempt(service, now);
+            if (attempted.reason != proxy_reason::NoUpstream || arrivals == 0) {
                 // An earlier attempt that may have run decides what the caller is told.
                 const bool mayHaveRun = m_mayHaveRun;
                 result = attempted;
@@ -140,40 +140,40 @@
                 return result;
             }
             if (m_request.key) {
-                if (clockNow() + m_path.m_options.ownerPause >= ownerDeadline
+                if (clockNow() + m_proxy.m_options.ownerPause >= ownerDeadline
                     || m_exchange.connection().waitClosed(clockNow()
-                                                          + m_path.m_options.ownerPause)) {
+                                                          + m_proxy.m_options.ownerPause)) {
                     return result;
                 }
-            } else if (attempted.reason == relay_reason::NoUpstream) {
+            } else if (attempted.reason == proxy_reason::NoUpstream) {
                 return result;
             }
         }
     }
 
     // Nobody is told how the request ended; an attempt before may have run.
-    static relay_result callerGone(relay_result result)
+    static proxy_result callerDisconnected(proxy_result result)
     {
-        result.reason = relay_reason::CallerGone;
-        result.callerGone = true;
+        result.reason = proxy_reason::CallerDisconnected;
+        result.callerDisconnected = true;
         return result;
     }
 
-    bool mayContinue(const relay_result &result, int arrivals)
+    bool mayContinue(const proxy_result &result, int arrivals)
     {
-        if (result.outcome == request_outcome::Run || result.answerStarted || result.callerGone
-            || clockNow() + minTimeForAttempt >= m_request.deadline) {
+        if (result.outcome == request_outcome::Run || result.responseStarted
+            || result.callerDisconnected || clockNow() + minTimeForAttempt >= m_request.deadline) {
             return false;
         }
         if (result.outcome == request_outcome::Unknown
-            && (!m_request.repeatable || result.reason == relay_reason::DeadlineExceeded)) {
+            && (!m_request.repeatable || result.reason == proxy_reason::DeadlineExceeded)) {
             return false;
         }
-        if (result.outcome == request_outcome::NotRun && !isPassing(result.reason)) {
+        if (result.outcome == request_outcome::NotRun && !isRetryable(result.reason)) {
             return false;
         }
-        if (m_refusedOffers >= m_path.m_options.mostOffers
-            || result.reason == relay_reason::OverloadExpected) {
+        if (m_refusedOffers >= m_proxy.m_options.maxOffers
+            || result.reason == proxy_reason::OverloadExpected) {
             return false;
         }
         // A key has one owner. Waiting for it helps only while the key moves; a full queue, a lost
@@ -186,53 +186,53 @@
     }
 
     // Chooses an upstream and tries the request there.
-    relay_result attempt(relay_path::service_state &service, steady_time now)
+    proxy_result attempt(request_proxy::service_state &service, steady_time now)
     {
-        const auto directory = m_path.m_hooks.directory();
+        const auto directory = m_proxy.m_hooks.directory();
         const upstream_member *member =
             m_request.key ? ownerOf(*directory, service) : anyOf(*directory, service, now);
         if (member == nullptr) {
-            return notRun(relay_reason::NoUpstream);
+            return notRun(proxy_reason::NoUpstream);
         }
         m_request.upstream = member->id;
         if (m_request.key && service.picker.isPenalized(member->id, now)) {
             service.picker.finish(member->id, upstream_picker::result::Neutral, std::nullopt, now);
-            return notRun(relay_reason::PeerUnreachable);
+            return notRun(proxy_reason::PeerUnreachable);
         }
-        const bool isLocal = member->id == m_path.m_runner.local().id;
+        const bool isLocal = member->id == m_proxy.m_dispatcher.local().id;
         const overload_throttle::kind kind = loadKind(member->id);
         if (!isLocal) {
-            if (const auto pause = service.throttle.keepBack(kind, m_path.drawShare(), now)) {
+            if (const auto pause = service.throttle.keepBack(kind, m_proxy.drawShare(), now)) {
                 service.picker.finish(member->id, upstream_picker::result::Neutral, std::nullopt,
                                       now);
                 m_tried.push_back(member->id);
-                return notRun(relay_reason::OverloadExpected, *pause);
+                return notRun(proxy_reason::OverloadExpected, *pause);
             }
         }
         const steady_time sentAt = clockNow();
-        relay_result result;
+        proxy_result result;
         if (isLocal) {
-            relay_sink sink(m_exchange, {});
-            result = m_path.m_runner.run(m_request, m_exchange, sink);
-            result.queue = m_path.m_runner.queue();
-        } else if (m_path.m_peers.isSilent(member->peerAddress, now)) {
-            result = notRun(relay_reason::PeerSilent);
+            proxy_sink sink(m_exchange, {});
+            result = m_proxy.m_dispatcher.dispatch(m_request, m_exchange, sink);
+            result.queue = m_proxy.m_dispatcher.queue();
+        } else if (m_proxy.m_peers.isSilent(member->peerAddress, now)) {
+            result = notRun(proxy_reason::PeerSilent);
         } else {
-            relay_sink sink(m_exchange, {});
-            result = m_path.m_peers.forward(m_request, member->peerAddress, m_exchange, sink);
+            proxy_sink sink(m_exchange, {});
+            result = m_proxy.m_peers.forward(m_request, member->peerAddress, m_exchange, sink);
             noteLoad(service.throttle, kind, result);
-            m_refusedOffers += result.reason == relay_reason::Overload ? 1 : 0;
+            m_refusedOffers += result.reason == proxy_reason::Overload ? 1 : 0;
         }
-        const bool failed = result.reason == relay_reason::PeerUnreachable
-            || result.reason == relay_reason::PeerSilent
-            || result.reason == relay_reason::SilentConnection
-            || result.reason == relay_reason::NoAnswer
-            || result.reason == relay_reason::OtherUpstream
-            || result.reason == relay_reason::UpstreamUnreachable;
+        const bool failed = result.reason == proxy_reason::PeerUnreachable
+            || result.reason == proxy_reason::PeerSilent
+            || result.reason == proxy_reason::SilentConnection
+            || result.reason == proxy_reason::NoResponse
+            || result.reason == proxy_reason::OtherUpstream
+            || result.reason == proxy_reason::UpstreamUnreachable;
         service.picker.finish(member->id,
-                              failed                  ? upstream_picker::result::Failed
-                                  : result.callerGone ? upstream_picker::result::Neutral
-                                                      : upstream_picker::result::Reached,
+                              failed                          ? upstream_picker::result::Failed
+                                  : result.callerDisconnected ? upstream_picker::result::Neutral
+                                                              : upstream_picker::result::Reached,
                               result.queue, clockNow());
         m_tried.push_back(member->id);
         logAttempt(result, clockNow() - sentAt, directory->revision());
@@ -247,9 +247,9 @@
     }
 
     void noteLoad(overload_throttle &throttle, const overload_throttle::kind &kind,
-                  const relay_result &result) const
+                  const proxy_result &result) const
     {
-        if (result.reason == relay_reason::Overload) {
+        if (result.reason == proxy_reason::Overload) {
             throttle.noteRefused(kind, result.retryAfter, clockNow());
         } else if (result.outcome == request_outcome::Run) {
             // Room at one upstream says nothing of the others.
@@ -260,9 +260,10 @@
     }
 
     const upstream_member *ownerOf(const fleet_directory &directory,
-                                   relay_path::service_state &service) const
+                                   request_proxy::service_state &service) const
     {
-        const fleet_directory::placed *placed = directory.findPlacement(m_request.service);
+        const fleet_directory::versioned_placement *placed =
+            directory.findPlacement(m_request.service);
         if (placed == nullptr) {
             return nullptr;
         }
@@ -277,16 +278,16 @@
     }
 
     const upstream_member *anyOf(const fleet_directory &directory,
-                                 relay_path::service_state &service, steady_time now) const
+                                 request_proxy::service_state &service, steady_time now) const
     {
         std::vector<const upstream_member *> members = directory.membersOf(m_request.service);
-        std::erase_if(members, [](const upstream_member *member) { return member->isLeaving; });
+        std::erase_if(members, [](const upstream_member *member) { return member->isDraining; });
         return service.picker.pick(members, m_tried, now);
     }
 
-    void logAttempt(const relay_result &result, std::chrono::nanoseconds took, uint64_t revision)
+    void logAttempt(const proxy_result &result, std::chrono::nanoseconds took, uint64_t revision)
     {
-        if (!m_path.m_log.isEnabled(log_level::Info)) {
+        if (!m_proxy.m_log.isEnabled(log_level::Info)) {
             return;
         }
         decision entry;
@@ -300,24 +301,25 @@
             toAbsl(toString(result.reason)), ",status:", result.status,
             ",took_us:", std::chrono::duration_cast<std::chrono::microseconds>(took).count());
         entry.reason = reason;
-        m_path.m_log.write(entry);
+        m_proxy.m_log.write(entry);
     }
 
-    void finish(const relay_result &result)
+    void finish(const proxy_result &result)
     {
         const steady_time now = clockNow();
         const std::string rank = std::to_string(m_request.rank);
-        m_path.m_metrics.recordLatency(m_request.service, rank, result.outcome, now - m_start);
-        if (result.outcome == request_outcome::Run || result.answerStarted || result.callerGone) {
+        m_proxy.m_metrics.recordLatency(m_request.service, rank, result.outcome, now - m_start);
+        if (result.outcome == request_outcome::Run || result.responseStarted
+            || result.callerDisconnected) {
             return;
         }
-        m_path.m_metrics.count("persimmonrail_refused_total",
-                               absl::StrCat("reason=\"", toAbsl(toString(result.reason)), "\""));
-        answerFailure(result);
+        m_proxy.m_metrics.count("persimmonrail_refused_total",
+                                absl::StrCat("reason=\"", toAbsl(toString(result.reason)), "\""));
+        respondWithFailure(result);
         logFailure(result, now);
     }
 
-    void answerFailure(const relay_result &result)
+    void respondWithFailure(const proxy_result &result)
     {
         Poco::Net::HTTPResponse head(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(
             statusFor(result.reason, result.outcome)));
@@ -325,16 +327,16 @@
         head.set(reasonHeader, std::string(toString(result.reason)));
         if (result.outcome == request_outcome::NotRun && head.getStatus() == 503) {
             const milliseconds pause =
-                std::max(leastRetryAfter,
+                std::max(minRetryAfter,
                          result.retryAfter.count() > 0 ? result.retryAfter
-                                                       : m_path.m_options.defaultRetryAfter);
+                                                       : m_proxy.m_options.defaultRetryAfter);
             head.set("Retry-After",
                      absl::StrFormat("%.3f", std::chrono::duration<double>(pause).count()));
         }
-        m_exchange.answer(head, absl::StrCat(toAbsl(toString(result.reason)), "\n"));
+        m_exchange.respond(head, absl::StrCat(toAbsl(toString(result.reason)), "\n"));
     }
 
-    void logFailure(const relay_result &result, steady_time now)
+    void logFailure(const proxy_result &result, steady_time now)
     {
         decision entry;
         entry.kind = "refuse";
@@ -349,15 +351,15 @@
             std::chrono::duration_cast<std::chrono::microseconds>(now - m_start).count(),
             ",route:", m_route ? m_route->name : std::string("none"));
         entry.reason = reason;
-        m_path.m_log.write(entry);
+        m_proxy.m_log.write(entry);
     }
 
-    relay_path &m_path;
+    request_proxy &m_proxy;
     server_exchange &m_exchange;
     const steady_time m_start;
     std::shared_ptr<const route_table> m_table;
     const route *m_route = nullptr;
-    relay_request m_request;
+    proxied_request m_request;
     std::vector<upstream_id> m_tried;
     // Attempts that other daemons refused as beyond their upstream's capacity.
     int m_refusedOffers = 0;
@@ -365,37 +367,39 @@
     bool m_budgetSpent = false;
 };
 
-relay_path::service_state::service_state(const relay_path_options &options, random_source random,
-                                         steady_time now)
+request_proxy::service_state::service_state(const request_proxy_options &options,
+                                            random_source random, steady_time now)
     : picker(options.availabilityZone, std::move(random))
     , retries(now, options.retries)
 { }
 
-relay_path::relay_path(relay_path_options options, relay_path_hooks hooks, exchange_codec codec,
-                       upstream_runner &runner, decision_log &log, metrics &values)
+request_proxy::request_proxy(request_proxy_options options, request_proxy_hooks hooks,
+                             exchange_codec codec, upstream_dispatcher &dispatcher,
+                             decision_log &log, metrics &values)
     : m_options(std::move(options))
     , m_hooks(std::move(hooks))
     , m_codec(std::move(codec))
-    , m_runner(runner)
+    , m_dispatcher(dispatcher)
     , m_log(log)
     , m_metrics(values)
-    , m_outlet{transfer_turns(), link_pacer(m_options.linkBytesPerSecond * m_options.largeShare)}
+    , m_outbound{large_response_queue(),
+                 link_pacer(m_options.linkBytesPerSecond * m_options.largeShare)}
     , m_random(m_hooks.makeRandom())
 { }
 
-uint64_t relay_path::draw()
+uint64_t request_proxy::draw()
 {
     const std::lock_guard lock(m_mutex);
     return m_random();
 }
 
-double relay_path::drawShare()
+double request_proxy::drawShare()
 {
     // The upper 53 bits fill the mantissa of a double.
     return static_cast<double>(draw() >> 11U) * 0x1.0p-53;
 }
 
-relay_path::service_state &relay_path::stateOf(const std::string &service, steady_time now)
+request_proxy::service_state &request_proxy::stateOf(const std::string &service, steady_time now)
 {
     const std::lock_guard lock(m_mutex);
     auto &state = m_services[service];
@@ -405,22 +409,22 @@
     return *state;
 }
 
-void relay_path::serveCaller(server_exchange &exchange)
+void request_proxy::serveCaller(server_exchange &exchange)
 {
     const in_flight_guard guard(m_inFlight);
     if (m_hooks.isStopping()) {
-        exchange.closeAfterAnswer();
+        exchange.closeAfterResponse();
     }
-    relay_call(*this, exchange).serve();
+    proxied_call(*this, exchange).serve();
 }
 
-void relay_path::servePeer(server_exchange &exchange)
+void request_proxy::servePeer(server_exchange &exchange)
 {
     const std::string &uri = exchange.request().getURI();
-    if (uri.starts_with(relayInFlightPath)) {
+    if (uri.starts_with(proxyInFlightPath)) {
         const std::lock_guard lock(m_mutex);
-        const bool known = m_peerRequests.contains(uri.substr(sizeof(relayInFlightPath) - 1));
-        exchange.answer(known ? 200 : 404, "", "text/plain");
+        const bool known = m_peerRequests.contains(uri.substr(sizeof(proxyInFlightPath) - 1));
+        exchange.respond(known ? 200 : 404, "", "text/plain");
         return;
     }
     const in_flight_guard guard(m_inFlight);
@@ -428,7 +432,7 @@
     if (!request.ok()) {
         m_log.write(log_level::Warn,
                     absl::StrCat("peer request ignored: ", request.status().message()));
-        answerPeer(exchange, notRun(relay_reason::MalformedRequest));
+        respondToPeer(exchange, notRun(proxy_reason::MalformedRequest));
         return;
     }
     {
@@ -437,18 +441,19 @@
     }
     const auto decorate = [this](Poco::Net::HTTPResponse &head) {
         head.set(outcomeHeader, std::string(toString(request_outcome::Run)));
-        head.set(queueHeader, encodeQueueReport(m_runner.queue()));
+        head.set(queueHeader, encodeQueueReport(m_dispatcher.queue()));
     };
-    relay_sink sink(exchange, decorate, &m_outlet, request->route);
-    request->answerLink = m_outlet.pacer.expect(request->route, clockNow());
-    relay_result result = m_runner.run(*request, exchange, sink);
+    proxy_sink sink(exchange, decorate, &m_outbound, request->route);
+    request->responseLink = m_outbound.pacer.expect(request->route, clockNow());
+    proxy_result result = m_dispatcher.dispatch(*request, exchange, sink);
     {
         const std::lock_guard lock(m_mutex);
         m_peerRequests.erase(m_peerRequests.find(request->requestId));
     }
-    if (result.outcome != request_outcome::Run && !result.answerStarted && !result.callerGone) {
-        result.queue = m_runner.queue();
-        answerPeer(exchange, result);
+    if (result.outcome != request_outcome::Run && !result.responseStarted
+        && !result.callerDisconnected) {
+        result.queue = m_dispatcher.queue();
+        respondToPeer(exchange, result);
     }
     if (result.outcome != request_outcome::Run && m_log.isEnabled(log_level::Info)) {
         decision entry;
--- a/src/persimmonrail/relay/relay_path.h
+++ b/src/persimmonrail/proxy/request_proxy.h
@@ -4,10 +4,10 @@
 #include "persimmonrail/fleet/fleet_directory.h"
 #include "persimmonrail/gateway/silent_peers.h"
 #include "persimmonrail/http/http_server.h"
-#include "persimmonrail/relay/overload_throttle.h"
-#include "persimmonrail/relay/peer_link.h"
-#include "persimmonrail/relay/upstream_picker.h"
-#include "persimmonrail/relay/upstream_runner.h"
+#include "persimmonrail/proxy/overload_throttle.h"
+#include "persimmonrail/proxy/peer_client.h"
+#include "persimmonrail/proxy/upstream_dispatcher.h"
+#include "persimmonrail/proxy/upstream_picker.h"
 #include "persimmonrail/routes/route_table.h"
 #include "persimmonrail/routing/retry_budget.h"
 #include "persimmonrail/telemetry/decision_log.h"
@@ -23,7 +23,7 @@
 
 namespace persimmonrail {
 
-struct relay_path_options
+struct request_proxy_options
 {
     // Service of the upstream on this host, on whose behalf callers here ask.
     std::string callerService;
@@ -37,7 +37,7 @@
     milliseconds defaultRetryAfter{250};
     // Upstreams that may refuse one request as beyond their capacity. Each refusal costs two
     // daemons a message, and where this many have no room, others seldom have.
-    int mostOffers = 3;
+    int maxOffers = 3;
     retry_budget_options retries;
     // What the link of this host carries; 0 if unknown.
     double linkBytesPerSecond = 0;
@@ -45,7 +45,7 @@
     double largeShare = 0.95;
 };
 
-struct relay_path_hooks
+struct request_proxy_hooks
 {
     // Null while no desired state is known.
     std::function<std::shared_ptr<const route_table>()> routes;
@@ -57,12 +57,12 @@
 
 // Takes requests of callers to the upstreams that may run them, through the daemons beside those.
 // Thread safe; each request runs on the thread of its connection.
-class relay_path
+class request_proxy
 {
 public:
-    // `runner`, `log` and `values` must outlive the object.
-    relay_path(relay_path_options options, relay_path_hooks hooks, exchange_codec codec,
-               upstream_runner &runner, decision_log &log, metrics &values);
+    // `dispatcher`, `log` and `values` must outlive the object.
+    request_proxy(request_proxy_options options, request_proxy_hooks hooks, exchange_codec codec,
+                  upstream_dispatcher &dispatcher, decision_log &log, metrics &values);
 
     // Request of a caller on this host.
     void serveCaller(server_exchange &exchange);
@@ -72,11 +72,11 @@
     int inFlight() const { return m_inFlight; }
 
 private:
-    friend class relay_call;
+    friend class proxied_call;
 
     struct service_state
     {
-        explicit service_state(const relay_path_options &options, random_source random,
+        explicit service_state(const request_proxy_options &options, random_source random,
                                steady_time now);
         upstream_picker picker;
         overload_throttle throttle;
@@ -87,15 +87,15 @@
     // Uniform in [0, 1).
     double drawShare();
 
-    const relay_path_options m_options;
-    const relay_path_hooks m_hooks;
+    const request_proxy_options m_options;
+    const request_proxy_hooks m_hooks;
     const exchange_codec m_codec;
-    upstream_runner &m_runner;
+    upstream_dispatcher &m_dispatcher;
     decision_log &m_log;
     metrics &m_metrics;
-    peer_link m_peers;
+    peer_client m_peers;
     // Of answers that leave this host.
-    link_outlet m_outlet;
+    outbound_link m_outbound;
     std::atomic<int> m_inFlight{0};
     // Guards the members below.
     std::mutex m_mutex;
--- a/src/persimmonrail/relay/slot_gate.cpp
+++ b/src/persimmonrail/proxy/slot_gate.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/slot_gate.h"
+#include "persimmonrail/proxy/slot_gate.h"
 
 #include <algorithm>
 #include <condition_variable>
--- a/src/persimmonrail/relay/slot_gate.h
+++ b/src/persimmonrail/proxy/slot_gate.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "persimmonrail/relay/slot_queue.h"
-#include "persimmonrail/relay/upstream_picker.h"
+#include "persimmonrail/proxy/slot_queue.h"
+#include "persimmonrail/proxy/upstream_picker.h"
 
 #include <functional>
 #include <memory>
--- a/src/persimmonrail/relay/slot_queue.cpp
+++ b/src/persimmonrail/proxy/slot_queue.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/slot_queue.h"
+#include "persimmonrail/proxy/slot_queue.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 namespace persimmonrail {
 namespace {
 
-constexpr milliseconds leastRetryAfter{20};
+constexpr milliseconds minRetryAfter{20};
 
 double seconds(std::chrono::nanoseconds time)
 {
@@ -90,7 +90,7 @@
     }
     // Less than a tenth of a slot is not worth keeping one free.
     const double wanted = offered < 0.1 ? 0 : std::ceil(offered);
-    return static_cast<int>(std::min(wanted, std::floor(m_slots * m_options.mostReserved)));
+    return static_cast<int>(std::min(wanted, std::floor(m_slots * m_options.maxReserved)));
 }
 
 int slot_queue::reservedBefore(const slot_request &request) const
@@ -120,11 +120,11 @@
     noteArrival(request, now);
     const double wait = expectedWait(request, now);
     const double service = serviceOf(request.kind);
-    const double useful = std::min(seconds(request.target - now) * m_options.acceptedShare,
+    const double useful = std::min(seconds(request.objectiveEnd - now) * m_options.acceptedShare,
                                    seconds(request.deadline - now));
     if (wait > 0 && wait + service > useful) {
         const auto excess = static_cast<int64_t>(std::ceil((wait + service - useful) * 1000));
-        refused.retryAfter = std::max(leastRetryAfter, milliseconds(excess));
+        refused.retryAfter = std::max(minRetryAfter, milliseconds(excess));
         return std::nullopt;
     }
     const auto position =
--- a/src/persimmonrail/relay/slot_queue.h
+++ b/src/persimmonrail/proxy/slot_queue.h
@@ -25,7 +25,7 @@
     // Time over which the load that each kind offers is measured.
     milliseconds loadMemory{1000};
     // Largest part of the slots that is kept free for requests which come before others.
-    double mostReserved = 0.5;
+    double maxReserved = 0.5;
 };
 
 // A request that asks for a slot.
@@ -38,7 +38,7 @@
     // Time from the arrival at the system within which an answer has its full worth.
     milliseconds objective{0};
     // That moment, and the one after which nobody waits.
-    steady_time target;
+    steady_time objectiveEnd;
     steady_time deadline;
 };
 
--- a/src/persimmonrail/relay/tests/transfer_turns_test.cpp
+++ b/src/persimmonrail/proxy/tests/large_response_queue_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/transfer_turns.h"
+#include "persimmonrail/proxy/large_response_queue.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,11 +11,11 @@
 
 namespace {
 
-transfer_turns_options patient()
+large_response_queue_options patient()
 {
-    transfer_turns_options options;
-    options.longestWait = 20s;
-    options.longestTurn = 20s;
+    large_response_queue_options options;
+    options.maxWait = 20s;
+    options.maxPermitTime = 20s;
     return options;
 }
 
@@ -24,7 +24,7 @@
 // Load pattern: several archives of photographs leave a host whose link they fill.
 TEST_CASE("large answers leave one after the other", "[relay]")
 {
-    transfer_turns turns(patient());
+    large_response_queue queue(patient());
     std::atomic<int> inside{0};
     std::atomic<int> most{0};
     std::atomic<int> served{0};
@@ -33,8 +33,8 @@
     transfers.reserve(count);
     for (int i = 0; i < count; ++i) {
         transfers.emplace_back([&] {
-            const auto turn = turns.enter();
-            if (turn == nullptr) {
+            const auto permit = queue.enter();
+            if (permit == nullptr) {
                 return;
             }
             most = std::max(most.load(), ++inside);
@@ -52,22 +52,22 @@
 
 TEST_CASE("small answers take no turn", "[relay]")
 {
-    const transfer_turns turns;
-    CHECK_FALSE(turns.isLarge(1500));
-    CHECK(turns.isLarge(90'000));
+    const large_response_queue queue;
+    CHECK_FALSE(queue.isLarge(1500));
+    CHECK(queue.isLarge(90'000));
 }
 
 // Guards against answers that wait for one whose reader is gone.
 TEST_CASE("a transfer that is stuck holds up others for a bounded time", "[relay]")
 {
-    transfer_turns_options options = patient();
-    options.longestWait = 10ms;
-    options.longestTurn = 0ms;
-    transfer_turns turns(options);
-    auto stuck = turns.enter();
+    large_response_queue_options options = patient();
+    options.maxWait = 10ms;
+    options.maxPermitTime = 0ms;
+    large_response_queue queue(options);
+    auto stuck = queue.enter();
     REQUIRE(stuck != nullptr);
     CHECK(stuck->isOver(std::chrono::steady_clock::now()));
-    CHECK(turns.enter() == nullptr);
+    CHECK(queue.enter() == nullptr);
     stuck.reset();
-    CHECK(turns.enter() != nullptr);
+    CHECK(queue.enter() != nullptr);
 }
--- a/src/persimmonrail/relay/tests/link_pacer_test.cpp
+++ b/src/persimmonrail/proxy/tests/link_pacer_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/link_pacer.h"
+#include "persimmonrail/proxy/link_pacer.h"
 
 #include <catch2/catch.hpp>
 
@@ -19,7 +19,7 @@
     link_pacer pacer(slowLink);
     steady_time last = start;
     size_t sent = 0;
-    for (int answer = 0; answer < 4; ++answer) {
+    for (int response = 0; response < 4; ++response) {
         pacer.begin("photo", 90'000);
         for (int piece = 0; piece < 6; ++piece) {
             const steady_time at = pacer.reserve(15'000, start);
--- a/src/persimmonrail/relay/tests/overload_throttle_test.cpp
+++ b/src/persimmonrail/proxy/tests/overload_throttle_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/overload_throttle.h"
+#include "persimmonrail/proxy/overload_throttle.h"
 
 #include <catch2/catch.hpp>
 
--- a/src/persimmonrail/relay/tests/releasing_sink_test.cpp
+++ b/src/persimmonrail/proxy/tests/releasing_sink_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/releasing_sink.h"
+#include "persimmonrail/proxy/releasing_sink.h"
 
 #include <catch2/catch.hpp>
 
@@ -14,7 +14,7 @@
     return {"photo", 1, 500ms, start + 500ms, start + 3s};
 }
 
-struct counting_sink : answer_sink
+struct counting_sink : response_sink
 {
     bool begin(const Poco::Net::HTTPResponse &, const body_framing &, std::string_view first,
                bool) override
--- a/src/persimmonrail/relay/tests/relay_path_test.cpp
+++ b/src/persimmonrail/proxy/tests/request_proxy_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/relay_path.h"
+#include "persimmonrail/proxy/request_proxy.h"
 
 #include "persimmonrail/base/header_names.h"
 
@@ -23,31 +23,31 @@
     metrics values;
     std::unique_ptr<http_server> peer;
     std::unique_ptr<http_server> callers;
-    std::unique_ptr<upstream_runner> runner;
-    std::unique_ptr<relay_path> path;
+    std::unique_ptr<upstream_dispatcher> dispatcher;
+    std::unique_ptr<request_proxy> path;
 
     explicit path_site(int members = 1, bool refuses = false)
     {
         peer = std::move(*http_server::listen({}, [this, refuses](server_exchange &exchange) {
             ++arrivals;
             if (refuses) {
-                answerPeer(exchange, notRun(relay_reason::Overload, 80ms));
+                respondToPeer(exchange, notRun(proxy_reason::Overload, 80ms));
                 return;
             }
             Poco::Net::HTTPResponse head;
             head.set(outcomeHeader, "run");
-            exchange.answer(head, "whole");
+            exchange.respond(head, "whole");
         }));
         exchange_codec codec;
         codec.readCall = [](const Poco::Net::HTTPRequest &) {
-            caller_call call;
+            caller_fields call;
             call.requestId = "r1";
             return call;
         };
-        upstream_runner_hooks runnerHooks;
-        runnerHooks.local = [] { return local_target(); };
-        runner = std::make_unique<upstream_runner>(codec, runnerHooks);
-        relay_path_hooks hooks;
+        upstream_dispatcher_hooks dispatcherHooks;
+        dispatcherHooks.local = [] { return local_target(); };
+        dispatcher = std::make_unique<upstream_dispatcher>(codec, dispatcherHooks);
+        request_proxy_hooks hooks;
         hooks.routes = [] {
             return std::make_shared<route_table>(
                 1, std::vector<route>{{"r", "h", "/", true, 2000ms, 500ms, 0, 2, {{"ledger", 1}}}},
@@ -65,8 +65,8 @@
         };
         hooks.isStopping = [] { return false; };
         hooks.makeRandom = [] { return [] { return uint64_t{1}; }; };
-        path =
-            std::make_unique<relay_path>(relay_path_options(), hooks, codec, *runner, log, values);
+        path = std::make_unique<request_proxy>(request_proxy_options(), hooks, codec, *dispatcher,
+                                               log, values);
     }
     ~path_site() { callers.reset(); }
 
@@ -110,5 +110,5 @@
 {
     path_site site(22, true);
     site.serve("GET / HTTP/1.1\r\nHost: h\r\n\r\n", false);
-    CHECK(site.arrivals == relay_path_options().mostOffers);
+    CHECK(site.arrivals == request_proxy_options().maxOffers);
 }
--- a/src/persimmonrail/relay/tests/slot_queue_test.cpp
+++ b/src/persimmonrail/proxy/tests/slot_queue_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/slot_queue.h"
+#include "persimmonrail/proxy/slot_queue.h"
 
 #include <catch2/catch.hpp>
 
@@ -71,7 +71,7 @@
                 const slot_request wanted = request(kind.kind, kind.rank, kind.objective, now);
                 const auto id = queue.submit(wanted, now, refused);
                 if (id) {
-                    known[*id] = {&kind, wanted.target};
+                    known[*id] = {&kind, wanted.objectiveEnd};
                 } else {
                     ++results[kind.kind].refused;
                 }
--- a/src/persimmonrail/relay/tests/upstream_picker_test.cpp
+++ b/src/persimmonrail/proxy/tests/upstream_picker_test.cpp
@@ -1,5 +1,5 @@
-#include "persimmonrail/relay/relay_reason.h"
-#include "persimmonrail/relay/upstream_picker.h"
+#include "persimmonrail/proxy/proxy_reason.h"
+#include "persimmonrail/proxy/upstream_picker.h"
 
 #include <catch2/catch.hpp>
 
@@ -33,7 +33,7 @@
     CHECK(parsed->running == 3);
     CHECK(parsed->waiting == 4);
     CHECK(parsed->limit == 9);
-    CHECK(parsed->service == 120ms);
+    CHECK(parsed->meanServiceTime == 120ms);
     for (const char *text : {"", "1,2,3", "1,2,0,4", "-1,2,3,4", "a,b,c,d", "1,2,3,4,5"}) {
         CHECK_FALSE(parseQueueReport(text).has_value());
     }
@@ -102,14 +102,14 @@
 // The statuses 429 and 503 promise that a request has not run and never will.
 TEST_CASE("only requests that did not run are told so", "[relay]")
 {
-    const auto [reason, outcome, status] = GENERATE(table<relay_reason, request_outcome, int>({
-        {relay_reason::NoRoute, request_outcome::NotRun, 404},
-        {relay_reason::Overload, request_outcome::NotRun, 503},
-        {relay_reason::DeadlineBeforeSend, request_outcome::NotRun, 503},
-        {relay_reason::NoAnswer, request_outcome::Unknown, 502},
-        {relay_reason::DeadlineExceeded, request_outcome::Unknown, 504},
-        {relay_reason::UpstreamRefused, request_outcome::Unknown, 502},
+    const auto [reason, outcome, status] = GENERATE(table<proxy_reason, request_outcome, int>({
+        {proxy_reason::NoRoute, request_outcome::NotRun, 404},
+        {proxy_reason::Overload, request_outcome::NotRun, 503},
+        {proxy_reason::DeadlineBeforeSend, request_outcome::NotRun, 503},
+        {proxy_reason::NoResponse, request_outcome::Unknown, 502},
+        {proxy_reason::DeadlineExceeded, request_outcome::Unknown, 504},
+        {proxy_reason::UpstreamRefused, request_outcome::Unknown, 502},
     }));
     CHECK(statusFor(reason, outcome) == status);
-    CHECK(parseRelayReason(toString(reason)) == reason);
+    CHECK(parseProxyReason(toString(reason)) == reason);
 }
--- a/src/persimmonrail/relay/upstream_runner.h
+++ b/src/persimmonrail/proxy/upstream_dispatcher.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "persimmonrail/http/http_server.h"
-#include "persimmonrail/relay/exchange_codec.h"
-#include "persimmonrail/relay/relay_types.h"
-#include "persimmonrail/relay/slot_gate.h"
+#include "persimmonrail/proxy/exchange_codec.h"
+#include "persimmonrail/proxy/proxy_types.h"
+#include "persimmonrail/proxy/slot_gate.h"
 
 #include <functional>
 #include <memory>
@@ -19,14 +19,14 @@
     // "ip:port".
     std::string address;
     // Why it takes no work; None if it does.
-    relay_reason closed = relay_reason::None;
+    proxy_reason closed = proxy_reason::None;
     // The same for keys that it still holds: they are served until they have moved, as long as the
     // platform lets a leaving upstream work.
-    relay_reason closedForKeys = relay_reason::None;
+    proxy_reason closedForKeys = proxy_reason::None;
 };
 
 // Hooks into the state of the daemon; all are thread safe, none blocks.
-struct upstream_runner_hooks
+struct upstream_dispatcher_hooks
 {
     std::function<local_target()> local;
     // Whether the upstream holds the key at this moment.
@@ -35,34 +35,35 @@
     std::function<void(shard_key key)> countKey;
     // A connection was refused: no process listens at the address.
     std::function<void(const upstream_id &id)> onRefusedConnection;
-    std::function<void(const upstream_id &id)> onAnswer;
+    std::function<void(const upstream_id &id)> onResponse;
 };
 
 // Hands requests to the upstream beside this daemon. Thread safe; each request runs on the thread
 // of its connection.
-class upstream_runner
+class upstream_dispatcher
 {
 public:
-    upstream_runner(exchange_codec codec, upstream_runner_hooks hooks);
+    upstream_dispatcher(exchange_codec codec, upstream_dispatcher_hooks hooks);
 
     // `exchange` supplies the body and is watched for the requester's departure; the answer goes to
     // `sink`.
-    relay_result run(const relay_request &request, server_exchange &exchange, answer_sink &sink);
+    proxy_result dispatch(const proxied_request &request, server_exchange &exchange,
+                          response_sink &sink);
     queue_report queue() const { return m_gate.report(); }
     void setSlots(int slots) { m_gate.setSlots(slots); }
     // The upstream that takes requests now.
     local_target local() const { return m_hooks.local(); }
     // Closes idle connections to an address, since another process may listen there.
-    void dropConnections(const std::string &address) { m_pool->drop(address); }
+    void dropConnections(const std::string &address) { m_pool->closeIdle(address); }
 
 private:
     // Why the request can't be handed over now; None if it can.
-    relay_reason refusal(const relay_request &request, const local_target &target) const;
-    relay_result handOver(const relay_request &request, const local_target &target,
-                          server_exchange &exchange, answer_sink &sink);
+    proxy_reason refusal(const proxied_request &request, const local_target &target) const;
+    proxy_result dispatchTo(const proxied_request &request, const local_target &target,
+                            server_exchange &exchange, response_sink &sink);
 
     const exchange_codec m_codec;
-    const upstream_runner_hooks m_hooks;
+    const upstream_dispatcher_hooks m_hooks;
     slot_gate m_gate;
     std::shared_ptr<connection_pool> m_pool;
     http_client m_client;
--- a/src/persimmonrail/relay/upstream_picker.cpp
+++ b/src/persimmonrail/proxy/upstream_picker.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/relay/upstream_picker.h"
+#include "persimmonrail/proxy/upstream_picker.h"
 
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_cat.h>
@@ -21,7 +21,7 @@
 std::string encodeQueueReport(const queue_report &report)
 {
     return absl::StrCat(report.running, ",", report.waiting, ",", report.limit, ",",
-                        report.service.count());
+                        report.meanServiceTime.count());
 }
 
 std::optional<queue_report> parseQueueReport(std::string_view text)
@@ -35,7 +35,7 @@
         || report.running < 0 || report.waiting < 0 || report.limit < 1 || service < 0) {
         return std::nullopt;
     }
-    report.service = std::chrono::microseconds(service);
+    report.meanServiceTime = std::chrono::microseconds(service);
     return report;
 }
 
@@ -61,8 +61,8 @@
             const double weight = std::max(0.0, 1 - age / memory);
             outstanding += weight * (known.report->running + known.report->waiting);
             limit = known.report->limit;
-            if (known.report->service.count() > 0) {
-                service = std::chrono::duration<double>(known.report->service).count();
+            if (known.report->meanServiceTime.count() > 0) {
+                service = std::chrono::duration<double>(known.report->meanServiceTime).count();
             }
         }
     }
@@ -90,10 +90,10 @@
     if (candidates.empty()) {
         return nullptr;
     }
-    std::swap(candidates.front(), candidates[drawBelow(m_random, candidates.size())]);
+    std::swap(candidates.front(), candidates[randomBelow(m_random, candidates.size())]);
     const upstream_member *chosen = candidates.front();
     if (candidates.size() > 1) {
-        const upstream_member *other = candidates[1 + drawBelow(m_random, candidates.size() - 1)];
+        const upstream_member *other = candidates[1 + randomBelow(m_random, candidates.size() - 1)];
         if (expectedTime(*other, now) < expectedTime(*chosen, now)) {
             chosen = other;
         }
@@ -102,7 +102,7 @@
     ++known.inFlight;
     if (known.failures > 0) {
         // One request at a time finds out whether it is back.
-        known.penaltyEnd = std::max(known.penaltyEnd, now + m_options.firstPenalty);
+        known.penaltyEnd = std::max(known.penaltyEnd, now + m_options.initialPenalty);
     }
     return chosen;
 }
@@ -129,7 +129,7 @@
     } else if (how == result::Failed) {
         const int doublings = std::min(known.failures++, 8);
         known.penaltyEnd =
-            now + std::min(m_options.longestPenalty, m_options.firstPenalty * (1 << doublings));
+            now + std::min(m_options.maxPenalty, m_options.initialPenalty * (1 << doublings));
     }
     if (m_entries.size() > maxEntries) {
         std::erase_if(m_entries, [](const auto &item) { return item.second.inFlight == 0; });
--- a/src/persimmonrail/relay/upstream_picker.h
+++ b/src/persimmonrail/proxy/upstream_picker.h
@@ -19,7 +19,7 @@
     int waiting = 0;
     int limit = 0;
     // Mean time that a request takes.
-    std::chrono::microseconds service{0};
+    std::chrono::microseconds meanServiceTime{0};
 };
 
 std::string encodeQueueReport(const queue_report &report);
@@ -29,8 +29,8 @@
 struct upstream_picker_options
 {
     // Pause after a failed attempt; doubles with each further one.
-    milliseconds firstPenalty{250};
-    milliseconds longestPenalty{4000};
+    milliseconds initialPenalty{250};
+    milliseconds maxPenalty{4000};
     // A report loses its weight over this time.
     milliseconds reportMemory{500};
     // Factor on the expected time at an upstream in another availability zone: two crossings cost
--- a/src/persimmonrail/requests/at_most_once_table.cpp
+++ b/src/persimmonrail/requests/at_most_once_table.cpp
@@ -14,10 +14,10 @@
     return verdict;
 }
 
-size_t sizeOf(const kept_answer &answer)
+size_t sizeOf(const stored_response &response)
 {
-    size_t size = sizeof(kept_answer) + answer.body.size();
-    for (const auto &[name, value] : answer.fields) {
+    size_t size = sizeof(stored_response) + response.body.size();
+    for (const auto &[name, value] : response.fields) {
         size += name.size() + value.size();
     }
     return size;
@@ -74,18 +74,19 @@
     if (known.outcome == request_outcome::Unknown) {
         return refuse(request_outcome::Unknown, "earlier-attempt-unknown");
     }
-    if (known.answer == nullptr) {
+    if (known.response == nullptr) {
         return refuse(request_outcome::Unknown, "answer-not-kept");
     }
     at_most_once_verdict verdict;
     verdict.what = at_most_once_verdict::action::Replay;
     verdict.outcome = request_outcome::Run;
-    verdict.answer = known.answer;
+    verdict.response = known.response;
     return verdict;
 }
 
 void at_most_once_table::end(std::string_view service, const idempotency_key &key,
-                             request_outcome outcome, std::shared_ptr<const kept_answer> answer)
+                             request_outcome outcome,
+                             std::shared_ptr<const stored_response> response)
 {
     const std::lock_guard lock(m_mutex);
     const entry_id id{std::string(service), key};
@@ -106,23 +107,23 @@
     }
     known->second.running = false;
     known->second.outcome = outcome;
-    if (outcome == request_outcome::Run && answer != nullptr) {
-        keepAnswer(id, known->second, std::move(answer));
+    if (outcome == request_outcome::Run && response != nullptr) {
+        storeResponse(id, known->second, std::move(response));
     }
 }
 
-void at_most_once_table::keepAnswer(const entry_id &id, entry &known,
-                                    std::shared_ptr<const kept_answer> answer)
+void at_most_once_table::storeResponse(const entry_id &id, entry &known,
+                                       std::shared_ptr<const stored_response> response)
 {
-    m_answerBytes += sizeOf(*answer);
-    known.answer = std::move(answer);
-    m_withAnswer.push_back(id);
-    while (m_answerBytes > m_options.maxAnswerBytes) {
-        const auto oldest = m_entries.find(m_withAnswer.front());
-        m_withAnswer.pop_front();
-        if (oldest != m_entries.end() && oldest->second.answer != nullptr) {
-            m_answerBytes -= sizeOf(*oldest->second.answer);
-            oldest->second.answer = nullptr;
+    m_responseBytes += sizeOf(*response);
+    known.response = std::move(response);
+    m_withResponse.push_back(id);
+    while (m_responseBytes > m_options.maxResponseBytes) {
+        const auto oldest = m_entries.find(m_withResponse.front());
+        m_withResponse.pop_front();
+        if (oldest != m_entries.end() && oldest->second.response != nullptr) {
+            m_responseBytes -= sizeOf(*oldest->second.response);
+            oldest->second.response = nullptr;
         }
     }
 }
@@ -134,9 +135,9 @@
     while (!m_byIssue.empty() && m_byIssue.begin()->first < oldestValid) {
         const auto known = m_entries.find(m_byIssue.begin()->second);
         if (known != m_entries.end()) {
-            if (known->second.answer != nullptr) {
-                m_answerBytes -= sizeOf(*known->second.answer);
-                m_withAnswer.remove(known->first);
+            if (known->second.response != nullptr) {
+                m_responseBytes -= sizeOf(*known->second.response);
+                m_withResponse.remove(known->first);
             }
             m_entries.erase(known);
         }
@@ -150,10 +151,10 @@
     return m_entries.size();
 }
 
-size_t at_most_once_table::answerBytes() const
+size_t at_most_once_table::responseBytes() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_answerBytes;
+    return m_responseBytes;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/requests/at_most_once_table.h
+++ b/src/persimmonrail/requests/at_most_once_table.h
@@ -16,7 +16,7 @@
 namespace persimmonrail {
 
 // An answer that is kept for resends.
-struct kept_answer
+struct stored_response
 {
     int status = 0;
     std::vector<std::pair<std::string, std::string>> fields;
@@ -32,7 +32,7 @@
     // Entries take 206 bytes each, see docs/CAPACITY.md; at the limit new requests are refused.
     size_t maxEntries = 200000;
     // Bytes of kept answers; beyond it the oldest answers are dropped, their entries stay.
-    size_t maxAnswerBytes = 16 * 1024 * 1024;
+    size_t maxResponseBytes = 16 * 1024 * 1024;
 };
 
 struct at_most_once_verdict
@@ -40,13 +40,13 @@
     enum class action {
         // Not seen before; end() must follow.
         Proceed,
-        // Ran before; `answer` is its answer.
+        // Ran before; `response` is its answer.
         Replay,
         // Must not be handed over; `outcome` and `reason` say why.
         Refuse,
     };
     action what = action::Proceed;
-    std::shared_ptr<const kept_answer> answer;
+    std::shared_ptr<const stored_response> response;
     request_outcome outcome = request_outcome::Unknown;
     std::string reason;
 };
@@ -66,13 +66,13 @@
     // own the partition, by its own wall clock.
     at_most_once_verdict begin(std::string_view service, const idempotency_key &key,
                                wall_time tenureStart, wall_time now);
-    // Ends a request that begin() let proceed. `answer` may be null. A request that did not run is
-    // forgotten and may be sent again.
+    // Ends a request that begin() let proceed. `response` may be null. A request that did not run
+    // is forgotten and may be sent again.
     void end(std::string_view service, const idempotency_key &key, request_outcome outcome,
-             std::shared_ptr<const kept_answer> answer);
+             std::shared_ptr<const stored_response> response);
 
     size_t size() const;
-    size_t answerBytes() const;
+    size_t responseBytes() const;
 
 private:
     struct entry_id
@@ -89,12 +89,13 @@
     {
         bool running = true;
         request_outcome outcome = request_outcome::Unknown;
-        std::shared_ptr<const kept_answer> answer;
+        std::shared_ptr<const stored_response> response;
     };
 
     static at_most_once_verdict verdictOf(const entry &known);
     void expire(wall_time now);
-    void keepAnswer(const entry_id &id, entry &known, std::shared_ptr<const kept_answer> answer);
+    void storeResponse(const entry_id &id, entry &known,
+                       std::shared_ptr<const stored_response> response);
 
     const at_most_once_options m_options;
     mutable std::mutex m_mutex;
@@ -102,8 +103,8 @@
     // By time of issue, for expiry.
     std::multimap<wall_time, entry_id> m_byIssue;
     // Entries with a kept answer, the oldest first.
-    std::list<entry_id> m_withAnswer;
-    size_t m_answerBytes = 0;
+    std::list<entry_id> m_withResponse;
+    size_t m_responseBytes = 0;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/requests/tests/at_most_once_table_test.cpp
+++ b/src/persimmonrail/requests/tests/at_most_once_table_test.cpp
@@ -27,9 +27,10 @@
     return key;
 }
 
-std::shared_ptr<const kept_answer> answerOf(size_t bytes)
+std::shared_ptr<const stored_response> responseOf(size_t bytes)
 {
-    return std::make_shared<const kept_answer>(kept_answer{200, {}, std::string(bytes, 'a')});
+    return std::make_shared<const stored_response>(
+        stored_response{200, {}, std::string(bytes, 'a')});
 }
 
 } // namespace
@@ -71,7 +72,7 @@
     struct
     {
         request_outcome outcome;
-        bool keepsAnswer;
+        bool storesResponse;
         action expected;
     } const rows[] = {
         {request_outcome::Run, true, action::Replay},
@@ -81,10 +82,10 @@
     };
     uint8_t number = 10;
     for (const auto &row : rows) {
-        CAPTURE(toString(row.outcome), row.keepsAnswer);
+        CAPTURE(toString(row.outcome), row.storesResponse);
         const auto resent = keyIssuedAt(start, number++);
         REQUIRE(table.begin("orderbook", resent, longAgo, start).what == action::Proceed);
-        table.end("orderbook", resent, row.outcome, row.keepsAnswer ? answerOf(10) : nullptr);
+        table.end("orderbook", resent, row.outcome, row.storesResponse ? responseOf(10) : nullptr);
         const auto verdict = table.begin("orderbook", resent, longAgo, start);
         CHECK(verdict.what == row.expected);
         CHECK((verdict.what != action::Refuse || verdict.outcome == request_outcome::Unknown));
@@ -142,13 +143,13 @@
 TEST_CASE("kept answers are bounded", "[requests]")
 {
     at_most_once_options options;
-    options.maxAnswerBytes = 10000;
+    options.maxResponseBytes = 10000;
     at_most_once_table table(options);
     for (uint8_t number = 1; number <= 20; ++number) {
         const auto key = keyIssuedAt(start, number);
         REQUIRE(table.begin("s", key, longAgo, start).what == action::Proceed);
-        table.end("s", key, request_outcome::Run, answerOf(1000));
-        CHECK(table.answerBytes() <= options.maxAnswerBytes);
+        table.end("s", key, request_outcome::Run, responseOf(1000));
+        CHECK(table.responseBytes() <= options.maxResponseBytes);
     }
     CHECK(table.begin("s", keyIssuedAt(start, 1), longAgo, start).what == action::Refuse);
     CHECK(table.begin("s", keyIssuedAt(start, 20), longAgo, start).what == action::Replay);
--- a/src/persimmonrail/router/key_rates.cpp
+++ b/src/persimmonrail/router/key_rates.cpp
@@ -9,7 +9,7 @@
 // for a steady figure.
 constexpr double memorySeconds = 0.5;
 // Rates below this count as none, so that they need no further work.
-constexpr float leastRate = 0.01F;
+constexpr float minRate = 0.01F;
 
 } // namespace
 
@@ -36,7 +36,7 @@
             continue;
         }
         rate = static_cast<float>(rate * kept + counted * weight);
-        if (rate < leastRate) {
+        if (rate < minRate) {
             rate = 0;
         }
     }
--- a/src/persimmonrail/router/member_publisher.cpp
+++ b/src/persimmonrail/router/member_publisher.cpp
@@ -10,8 +10,8 @@
 namespace persimmonrail {
 namespace {
 
-constexpr milliseconds firstRetry{100};
-constexpr milliseconds longestRetry{1000};
+constexpr milliseconds initialRetry{100};
+constexpr milliseconds maxRetry{1000};
 
 } // namespace
 
@@ -57,11 +57,11 @@
         }
         m_loop.post([this, member, object, status = written.status()](steady_time now) {
             m_pending = false;
-            m_retry = status.ok() ? firstRetry : std::min(m_retry * 2, longestRetry);
+            m_retry = status.ok() ? initialRetry : std::min(m_retry * 2, maxRetry);
             m_nextWriteAt = status.ok() ? now : now + m_retry;
             m_log.write(status.ok() ? log_level::Info : log_level::Warn,
                         absl::StrCat("member upstream=", toString(member.id),
-                                     " leaving=", member.isLeaving, " gone=", member.isGone,
+                                     " leaving=", member.isDraining, " gone=", member.isTerminated,
                                      " slots=", member.slots,
                                      " outcome=", status.ok() ? "written" : status.ToString()));
             if (object) {
--- a/src/persimmonrail/router/object_watcher.cpp
+++ b/src/persimmonrail/router/object_watcher.cpp
@@ -70,7 +70,7 @@
 
 void object_watcher::run()
 {
-    milliseconds retry = m_options.firstRetry;
+    milliseconds retry = m_options.initialRetry;
     bool reported = false;
     for (;;) {
         {
@@ -87,13 +87,13 @@
         }
         if (status.ok()) {
             // A list may come another way than a watch, so only a watch shows that all is well.
-            retry = m_hasWatched ? m_options.firstRetry : retry;
+            retry = m_hasWatched ? m_options.initialRetry : retry;
             continue;
         }
         // The history may have moved on meanwhile; a list is always right.
         m_listed = false;
         pause(retry);
-        retry = std::min(retry * 2, m_options.longestRetry);
+        retry = std::min(retry * 2, m_options.maxRetry);
     }
 }
 
--- a/src/persimmonrail/router/object_watcher.h
+++ b/src/persimmonrail/router/object_watcher.h
@@ -16,8 +16,8 @@
     // Longest time that one watch waits. Each waiting watch counts as one call, so longer is
     // cheaper; connections that go silent are found by keep-alive.
     milliseconds wait{20000};
-    milliseconds firstRetry{150};
-    milliseconds longestRetry{1000};
+    milliseconds initialRetry{150};
+    milliseconds maxRetry{1000};
 };
 
 // Follows the objects under one prefix on a thread of its own: lists them, then watches from the
--- a/src/persimmonrail/router/peer_monitor.cpp
+++ b/src/persimmonrail/router/peer_monitor.cpp
@@ -19,7 +19,7 @@
 std::string encodePeerStatus(const peer_status &status)
 {
     return absl::StrCat(encodeQueueReport(status.queue), ";", status.upstream.name, ";",
-                        status.upstream.startedAt, ";", status.takesWork ? 1 : 0);
+                        status.upstream.startedAt, ";", status.acceptsRequests ? 1 : 0);
 }
 
 std::optional<peer_status> parsePeerStatus(std::string_view text)
@@ -31,7 +31,7 @@
     const auto queue = parseQueueReport(parts[0]);
     peer_status status;
     status.upstream.name = parts[1];
-    status.takesWork = parts[3] == "1";
+    status.acceptsRequests = parts[3] == "1";
     if (!queue || !absl::SimpleAtoi(parts[2], &status.upstream.startedAt)) {
         return std::nullopt;
     }
@@ -90,14 +90,14 @@
         if (known != m_entries.end()) {
             kept = known->second;
         } else {
-            kept.answeredAt = now;
+            kept.respondedAt = now;
         }
         kept.member = *peer;
     }
     m_entries = std::move(entries);
 }
 
-void peer_health::onAnswer(const upstream_id &id, const peer_status &status, steady_time now)
+void peer_health::onResponse(const upstream_id &id, const peer_status &status, steady_time now)
 {
     const auto known = m_entries.find(id);
     if (known == m_entries.end()) {
@@ -105,13 +105,13 @@
     }
     entry &peer = known->second;
     const double load = utilization(status.queue);
-    peer.takesWork = status.takesWork && status.upstream == id;
+    peer.acceptsRequests = status.acceptsRequests && status.upstream == id;
     peer.utilization =
-        peer.hasAnswered ? peer.utilization + (load - peer.utilization) * loadSmoothing : load;
+        peer.hasResponded ? peer.utilization + (load - peer.utilization) * loadSmoothing : load;
     peer.queue = status.queue;
-    peer.hasAnswered = true;
+    peer.hasResponded = true;
     peer.isSilent = false;
-    peer.answeredAt = now;
+    peer.respondedAt = now;
 }
 
 void peer_health::onSilence(const upstream_id &id, steady_time)
@@ -131,8 +131,8 @@
     }
     if (reported.isSilent) {
         known->second.isSilent = true;
-    } else if (now - reported.age > known->second.answeredAt) {
-        onAnswer(id, reported.status, now - reported.age);
+    } else if (now - reported.age > known->second.respondedAt) {
+        onResponse(id, reported.status, now - reported.age);
     }
 }
 
@@ -143,11 +143,11 @@
         ordered.push_back(&peer);
     }
     std::sort(ordered.begin(), ordered.end(),
-              [](const entry *a, const entry *b) { return worksBefore(a->member, b->member); });
+              [](const entry *a, const entry *b) { return hasMoreCapacity(a->member, b->member); });
     std::vector<const upstream_member *> asked;
     for (const entry *peer : ordered) {
         asked.push_back(&peer->member);
-        const bool asksForOthers = self == nullptr || worksBefore(peer->member, *self);
+        const bool asksForOthers = self == nullptr || hasMoreCapacity(peer->member, *self);
         if (asksForOthers && !peer->isSilent) {
             return asked;
         }
@@ -159,11 +159,11 @@
 {
     std::vector<reported_status> statuses;
     for (const auto &[id, peer] : m_entries) {
-        if (peer.hasAnswered || peer.isSilent) {
-            const auto age = std::chrono::duration_cast<milliseconds>(now - peer.answeredAt);
+        if (peer.hasResponded || peer.isSilent) {
+            const auto age = std::chrono::duration_cast<milliseconds>(now - peer.respondedAt);
             queue_report queue = peer.queue;
             queue.limit = std::max({queue.limit, peer.member.slots, 1});
-            statuses.push_back({{queue, id, peer.takesWork}, age, peer.isSilent});
+            statuses.push_back({{queue, id, peer.acceptsRequests}, age, peer.isSilent});
         }
     }
     return statuses;
@@ -179,13 +179,13 @@
 {
     const auto known = m_entries.find(id);
     return known != m_entries.end() && known->second.isSilent
-        && now - known->second.answeredAt >= m_options.unreachableAfter;
+        && now - known->second.respondedAt >= m_options.unreachableAfter;
 }
 
-range_keeper::peers peer_health::view(const upstream_member *self, steady_time now) const
+range_controller::peers peer_health::view(const upstream_member *self, steady_time now) const
 {
-    range_keeper::peers view;
-    const bool takesPart = self != nullptr && !self->isLeaving;
+    range_controller::peers view;
+    const bool takesPart = self != nullptr && !self->isDraining;
     if (takesPart) {
         view.live.push_back({self->id, self->slots});
     }
@@ -200,17 +200,18 @@
             view.isCoordinator = false;
         }
         // A member that was just written is believed until it could be asked.
-        const bool isLive = peer.hasAnswered ? peer.takesWork : !peer.isSilent;
-        if (!peer.member.isLeaving && isLive) {
+        const bool isLive = peer.hasResponded ? peer.acceptsRequests : !peer.isSilent;
+        if (!peer.member.isDraining && isLive) {
             view.live.push_back({id, peer.member.slots});
         }
-        if (!peer.member.isLeaving && peer.hasAnswered && peer.takesWork) {
-            view.loads.push_back({id, peer.member.slots, peer.utilization, peer.queue.service});
+        if (!peer.member.isDraining && peer.hasResponded && peer.acceptsRequests) {
+            view.loads.push_back(
+                {id, peer.member.slots, peer.utilization, peer.queue.meanServiceTime});
         }
     }
     const bool mostAreUnreachable = unreachable.size() * 2 > m_entries.size();
     for (const entry *peer : unreachable) {
-        if (!mostAreUnreachable || now - peer->answeredAt >= m_options.unreachableAfterIfMost) {
+        if (!mostAreUnreachable || now - peer->respondedAt >= m_options.unreachableAfterIfMost) {
             view.unreachable.push_back(peer->member.id);
         }
     }
@@ -262,17 +263,17 @@
 
 void peer_monitor::askOne(const target &target)
 {
-    const auto answer = simpleRequest(m_client, target.address, "GET", peerStatusesPath, "",
-                                      std::chrono::steady_clock::now() + m_options.pollTimeout);
-    auto statuses = answer.ok() ? parseStatuses(answer->body) : std::vector<reported_status>();
-    m_loop.post([this, id = target.id, statuses = std::move(statuses)](steady_time answered) {
+    const auto response = simpleRequest(m_client, target.address, "GET", peerStatusesPath, "",
+                                        std::chrono::steady_clock::now() + m_options.pollTimeout);
+    auto statuses = response.ok() ? parseStatuses(response->body) : std::vector<reported_status>();
+    m_loop.post([this, id = target.id, statuses = std::move(statuses)](steady_time respondedAt) {
         if (statuses.empty()) {
-            m_health.onSilence(id, answered);
+            m_health.onSilence(id, respondedAt);
             return;
         }
-        m_health.onAnswer(id, statuses.front().status, answered);
+        m_health.onResponse(id, statuses.front().status, respondedAt);
         for (size_t i = 1; i < statuses.size(); ++i) {
-            m_health.onReported(statuses[i], answered);
+            m_health.onReported(statuses[i], respondedAt);
         }
     });
 }
--- a/src/persimmonrail/router/peer_monitor.h
+++ b/src/persimmonrail/router/peer_monitor.h
@@ -4,8 +4,8 @@
 #include "persimmonrail/daemon/control_loop.h"
 #include "persimmonrail/fleet/fleet_directory.h"
 #include "persimmonrail/http/http_client.h"
-#include "persimmonrail/relay/upstream_picker.h"
-#include "persimmonrail/router/range_keeper.h"
+#include "persimmonrail/proxy/upstream_picker.h"
+#include "persimmonrail/router/range_controller.h"
 
 #include <map>
 #include <memory>
@@ -22,7 +22,7 @@
 {
     queue_report queue;
     upstream_id upstream;
-    bool takesWork = false;
+    bool acceptsRequests = false;
 };
 
 std::string encodePeerStatus(const peer_status &status);
@@ -68,7 +68,7 @@
     explicit peer_health(peer_monitor_options options = {});
 
     void setPeers(const std::vector<const upstream_member *> &peers, steady_time now);
-    void onAnswer(const upstream_id &id, const peer_status &status, steady_time now);
+    void onResponse(const upstream_id &id, const peer_status &status, steady_time now);
     void onSilence(const upstream_id &id, steady_time now);
     // Takes what the first peer says of another one, unless this daemon knows newer.
     void onReported(const reported_status &reported, steady_time now);
@@ -80,7 +80,7 @@
     // Whether its last answer is missing.
     bool isSilent(const upstream_id &id) const;
     // The view of `self`; null if this daemon has no upstream.
-    range_keeper::peers view(const upstream_member *self, steady_time now) const;
+    range_controller::peers view(const upstream_member *self, steady_time now) const;
     // Mean number of requests per slot that `report` stands for.
     static double utilization(const queue_report &report);
 
@@ -88,11 +88,11 @@
     struct entry
     {
         upstream_member member;
-        steady_time answeredAt{};
-        bool hasAnswered = false;
+        steady_time respondedAt{};
+        bool hasResponded = false;
         bool isSilent = false;
         // By its own word, which is fresher than the store's.
-        bool takesWork = false;
+        bool acceptsRequests = false;
         double utilization = 0;
         queue_report queue;
     };
--- a/src/persimmonrail/router/range_keeper.cpp
+++ b/src/persimmonrail/router/range_controller.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/router/range_keeper.h"
+#include "persimmonrail/router/range_controller.h"
 
 #include "persimmonrail/base/text.h"
 
@@ -29,8 +29,9 @@
     return std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
 }
 
-range_keeper::range_keeper(std::string service, range_lease_timing timing, object_api store,
-                           grant_api grants, control_loop &loop, decision_log &log, hooks hooks)
+range_controller::range_controller(std::string service, range_lease_timing timing, object_api store,
+                                   grant_api grants, control_loop &loop, decision_log &log,
+                                   hooks hooks)
     : m_service(std::move(service))
     , m_timing(timing)
     , m_store(std::move(store))
@@ -38,18 +39,18 @@
     , m_loop(loop)
     , m_log(log)
     , m_hooks(std::move(hooks))
-    , m_holder(timing)
+    , m_leaseManager(timing)
     , m_releaseWorker(std::make_unique<background_worker>())
     , m_grantWorker(std::make_unique<background_worker>())
     , m_storeWorker(std::make_unique<background_worker>())
 {
-    m_holder.noteStart(bootNow());
+    m_leaseManager.noteStart(bootNow());
 }
 
-range_keeper::~range_keeper() = default;
+range_controller::~range_controller() = default;
 
-void range_keeper::logRange(std::string_view kind, key_interval keys, uint64_t fence,
-                            std::string_view outcome, std::string_view reason) const
+void range_controller::logRange(std::string_view kind, key_interval keys, uint64_t fence,
+                                std::string_view outcome, std::string_view reason) const
 {
     decision entry;
     entry.kind = kind;
@@ -64,8 +65,8 @@
     m_log.write(entry);
 }
 
-void range_keeper::onDirectory(const std::shared_ptr<const fleet_directory> &directory,
-                               boot_time confirmedAt)
+void range_controller::onDirectory(const std::shared_ptr<const fleet_directory> &directory,
+                                   boot_time confirmedAt)
 {
     const bool changed = directory != m_directory;
     m_directory = directory;
@@ -73,7 +74,7 @@
     const auto *placed = m_directory->findPlacement(m_service);
     if (placed != nullptr) {
         const std::lock_guard lock(m_mutex);
-        m_holder.onPlacement(placed->placement, confirmedAt, bootNow());
+        m_leaseManager.onPlacement(placed->placement, confirmedAt, bootNow());
     }
     if (changed) {
         renewGrants();
@@ -81,22 +82,22 @@
     }
 }
 
-void range_keeper::setUpstream(const std::optional<upstream_id> &upstream,
-                               const std::string &address, bool isLeaving)
+void range_controller::setUpstream(const std::optional<upstream_id> &upstream,
+                                   const std::string &address, bool isDraining)
 {
     m_upstream = upstream;
     m_address = address;
-    m_isLeaving = isLeaving;
+    m_isDraining = isDraining;
     const std::lock_guard lock(m_mutex);
-    m_holder.setUpstream(upstream);
+    m_leaseManager.setUpstream(upstream);
 }
 
-void range_keeper::setPeers(peers peers)
+void range_controller::setPeers(peers peers)
 {
     m_peers = std::move(peers);
 }
 
-void range_keeper::setOwnQueue(const queue_report &queue)
+void range_controller::setOwnQueue(const queue_report &queue)
 {
     m_queue = queue;
     const double inUse =
@@ -104,31 +105,32 @@
     m_inUse += (inUse - m_inUse) * inUseSmoothing;
 }
 
-bool range_keeper::mayServe(shard_key key) const
+bool range_controller::mayServe(shard_key key) const
 {
     const std::lock_guard lock(m_mutex);
-    return m_holder.mayServe(key, bootNow());
+    return m_leaseManager.mayServe(key, bootNow());
 }
 
-bool range_keeper::isGone(const upstream_id &id) const
+bool range_controller::isTerminated(const upstream_id &id) const
 {
     const auto *known = m_directory->findMember(id.name);
-    return known != nullptr && (known->member.isGone || known->member.id.startedAt > id.startedAt);
+    return known != nullptr
+        && (known->member.isTerminated || known->member.id.startedAt > id.startedAt);
 }
 
-bool range_keeper::ownsNothing() const
+bool range_controller::ownsNothing() const
 {
     const auto *placed = m_directory->findPlacement(m_service);
     return !m_upstream || placed == nullptr || ownedKeys(placed->placement, *m_upstream) == 0;
 }
 
-bool range_keeper::holdsAll() const
+bool range_controller::holdsAll() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_holder.dueGrants(bootNow()).empty();
+    return m_leaseManager.dueGrants(bootNow()).empty();
 }
 
-std::vector<key_interval> range_keeper::ownIntervals() const
+std::vector<key_interval> range_controller::ownIntervals() const
 {
     std::vector<key_interval> own;
     const auto *placed = m_directory->findPlacement(m_service);
@@ -142,7 +144,7 @@
     return own;
 }
 
-void range_keeper::tick(steady_time now)
+void range_controller::tick(steady_time now)
 {
     if (!m_upstream) {
         // Another daemon, or the next life of the upstream, acts for keys that it had.
@@ -150,15 +152,15 @@
         return;
     }
     m_rates.advance(now);
-    retryOpenGive(now);
+    retryUnconfirmedMove(now);
     renewGrants();
     releaseSurplus();
     confirm();
     considerRecord();
-    considerGiving(now);
+    considerMove(now);
 }
 
-void range_keeper::renewGrants()
+void range_controller::renewGrants()
 {
     if (m_grantsPending || !m_upstream) {
         return;
@@ -166,7 +168,7 @@
     std::vector<range_grant> due;
     {
         const std::lock_guard lock(m_mutex);
-        due = m_holder.dueGrants(bootNow());
+        due = m_leaseManager.dueGrants(bootNow());
     }
     for (const range_grant &grant : due) {
         sendGrant(grant, m_timing.holdTime);
@@ -178,13 +180,13 @@
     }
 }
 
-void range_keeper::sendGrant(const range_grant &grant, milliseconds holdTime)
+void range_controller::sendGrant(const range_grant &grant, milliseconds holdTime)
 {
     m_grantWorker->enqueue([this, grant, holdTime, address = m_address, id = *m_upstream] {
         const boot_time sentAt = bootNow();
         {
             const std::lock_guard lock(m_mutex);
-            if (!m_holder.maySend(grant, sentAt)) {
+            if (!m_leaseManager.maySend(grant, sentAt)) {
                 return;
             }
         }
@@ -192,11 +194,11 @@
         {
             const std::lock_guard lock(m_mutex);
             if (status.ok()) {
-                m_holder.onGranted(grant, sentAt);
+                m_leaseManager.onGranted(grant, sentAt);
             } else if (absl::IsAborted(status)) {
-                m_holder.onGrantRefused(grant);
+                m_leaseManager.onGrantRefused(grant);
             } else if (!absl::IsUnavailable(status) && !absl::IsFailedPrecondition(status)) {
-                m_holder.onGrantUnanswered(grant, holdTime, sentAt);
+                m_leaseManager.onGrantUnconfirmed(grant, holdTime, sentAt);
             }
         }
         if (!status.ok()) {
@@ -211,14 +213,14 @@
     });
 }
 
-void range_keeper::extendHolds(milliseconds mostHold)
+void range_controller::extendHolds(milliseconds maxHold)
 {
     std::vector<range_grant> held;
     milliseconds holdTime{0};
     {
         const std::lock_guard lock(m_mutex);
-        held = m_holder.heldWithin({});
-        holdTime = std::min(mostHold, m_holder.longestSafeHold(bootNow()));
+        held = m_leaseManager.heldWithin({});
+        holdTime = std::min(maxHold, m_leaseManager.maxSafeHold(bootNow()));
     }
     if (holdTime < m_timing.holdTime) {
         return;
@@ -228,18 +230,18 @@
     }
 }
 
-void range_keeper::releaseSurplus()
+void range_controller::releaseSurplus()
 {
-    if (m_giving || !m_upstream) {
+    if (m_moving || !m_upstream) {
         return;
     }
     std::vector<range_grant> due;
     {
         const std::lock_guard lock(m_mutex);
-        due = m_holder.dueReleases();
+        due = m_leaseManager.dueReleases();
         for (const range_grant &grant : due) {
             // Released or not, it is no longer served from here.
-            m_holder.onReleased(grant.keys, grant.fence);
+            m_leaseManager.onReleased(grant.keys, grant.fence);
         }
     }
     for (const range_grant &grant : due) {
@@ -256,14 +258,14 @@
 
 // Runs `release` on the release worker once the grants that were enqueued before have been sent
 // and answered.
-void range_keeper::afterGrants(std::function<void()> release)
+void range_controller::afterGrants(std::function<void()> release)
 {
     m_grantWorker->enqueue([this, release = std::move(release)]() mutable {
         m_releaseWorker->enqueue(std::move(release));
     });
 }
 
-void range_keeper::confirm()
+void range_controller::confirm()
 {
     const boot_time now = bootNow();
     if (m_confirmPending || now - m_confirmedAt < confirmInterval
@@ -285,13 +287,13 @@
             if (placed != nullptr && placed->version == object->version) {
                 m_confirmedAt = std::max(m_confirmedAt, sentAt);
                 const std::lock_guard lock(m_mutex);
-                m_holder.onConfirmed(sentAt);
+                m_leaseManager.onConfirmed(sentAt);
             }
         });
     });
 }
 
-void range_keeper::write(placement_write change, std::function<void(write_result result)> done)
+void range_controller::write(placement_write change, std::function<void(write_result result)> done)
 {
     m_writePending = true;
     m_storeWorker->enqueue([this, change = std::move(change), done = std::move(done)] {
@@ -315,17 +317,17 @@
             if (object.ok()) {
                 m_hooks.onObject(*object);
                 const std::lock_guard lock(m_mutex);
-                m_holder.onConfirmed(sentAt);
+                m_leaseManager.onConfirmed(sentAt);
             }
             done(result);
         });
     });
 }
 
-void range_keeper::considerRecord()
+void range_controller::considerRecord()
 {
     const steady_time now = std::chrono::steady_clock::now();
-    if (m_writePending || m_giving || now < m_nextWriteAt) {
+    if (m_writePending || m_moving || now < m_nextWriteAt) {
         return;
     }
     const auto *placed = m_directory->findPlacement(m_service);
@@ -336,14 +338,14 @@
     };
     if (m_upstream) {
         const key_placement reclaimed = reclaimRanges(current, *m_upstream);
-        if (reclaimed != current && !m_isLeaving) {
+        if (reclaimed != current && !m_isDraining) {
             propose(reclaimed, "reclaim");
             return;
         }
         bool takeoverDue = false;
         {
             const std::lock_guard lock(m_mutex);
-            takeoverDue = m_holder.isTakeoverDue(bootNow());
+            takeoverDue = m_leaseManager.isTakeoverDue(bootNow());
         }
         if (takeoverDue) {
             propose(activateTakeover(current, *m_upstream), "activate-takeover");
@@ -367,7 +369,7 @@
         return;
     }
     const key_placement withoutGone = reassignLost(
-        current, [this](const upstream_id &id) { return isGone(id); }, m_peers.live,
+        current, [this](const upstream_id &id) { return isTerminated(id); }, m_peers.live,
         milliseconds(0));
     if (withoutGone != current) {
         propose(withoutGone, "owner-gone");
--- a/src/persimmonrail/router/range_keeper.h
+++ b/src/persimmonrail/router/range_controller.h
@@ -3,9 +3,9 @@
 #include "persimmonrail/daemon/background_worker.h"
 #include "persimmonrail/daemon/control_loop.h"
 #include "persimmonrail/fleet/fleet_directory.h"
-#include "persimmonrail/keyspace/range_holder.h"
+#include "persimmonrail/keyspace/range_lease_manager.h"
 #include "persimmonrail/keyspace/range_plan.h"
-#include "persimmonrail/relay/upstream_picker.h"
+#include "persimmonrail/proxy/upstream_picker.h"
 #include "persimmonrail/router/key_rates.h"
 #include "persimmonrail/router/placement_write.h"
 #include "persimmonrail/router/range_release.h"
@@ -25,7 +25,7 @@
 // Keeps the key ranges of the upstream on this host: grants, renewals, releases and changes of the
 // recorded owners. Runs on the control thread, except for mayServe() and countKey(), which are
 // thread safe. Calls that block run on workers.
-class range_keeper
+class range_controller
 {
 public:
     struct hooks
@@ -34,15 +34,15 @@
         std::function<void(const stored_object &object)> onObject;
     };
     // The references must outlive the keeper.
-    range_keeper(std::string service, range_lease_timing timing, object_api store, grant_api grants,
-                 control_loop &loop, decision_log &log, hooks hooks);
-    ~range_keeper();
+    range_controller(std::string service, range_lease_timing timing, object_api store,
+                     grant_api grants, control_loop &loop, decision_log &log, hooks hooks);
+    ~range_controller();
 
     // `confirmedAt`: when the store certainly held this.
     void onDirectory(const std::shared_ptr<const fleet_directory> &directory,
                      boot_time confirmedAt);
     void setUpstream(const std::optional<upstream_id> &upstream, const std::string &address,
-                     bool isLeaving);
+                     bool isDraining);
     // Upstreams of the service that certainly hold no key any more, or can't be reached.
     struct peers
     {
@@ -61,14 +61,14 @@
 
     bool mayServe(shard_key key) const;
     void countKey(shard_key key) { m_rates.count(key); }
-    bool isIdle() const { return !m_giving; }
+    bool isIdle() const { return !m_moving; }
     // Whether the upstream holds no key and is recorded for none.
     bool ownsNothing() const;
     // Whether the recorded ranges of the upstream are all in force.
     bool holdsAll() const;
-    // Renews all grants for as long as is safe, at most `mostHold`, so that the keys stay held over
+    // Renews all grants for as long as is safe, at most `maxHold`, so that the keys stay held over
     // a restart of the daemon.
-    void extendHolds(milliseconds mostHold);
+    void extendHolds(milliseconds maxHold);
 
 private:
     void renewGrants();
@@ -76,18 +76,18 @@
     void releaseSurplus();
     void afterGrants(std::function<void()> release);
     void considerRecord();
-    void considerGiving(steady_time now);
-    void startGiving(std::vector<planned_move> moves, std::string_view reason);
+    void considerMove(steady_time now);
+    void startMove(std::vector<planned_move> moves, std::string_view reason);
     // `tries`: writes that may follow if other writers change the record in between.
-    void finishGiving(const std::vector<released_range> &given, int tries);
-    void endGiving();
+    void finishMove(const std::vector<released_range> &moved, int tries);
+    void endMove();
     owner_load ownLoad() const;
     void write(placement_write change, std::function<void(write_result result)> done);
-    void onGiveWritten(const std::vector<released_range> &given, int tries, write_result result);
-    void retryOpenGive(steady_time now);
+    void onMoveWritten(const std::vector<released_range> &moved, int tries, write_result result);
+    void retryUnconfirmedMove(steady_time now);
     void confirm();
     std::vector<key_interval> ownIntervals() const;
-    bool isGone(const upstream_id &id) const;
+    bool isTerminated(const upstream_id &id) const;
     void logRange(std::string_view kind, key_interval keys, uint64_t fence,
                   std::string_view outcome, std::string_view reason) const;
 
@@ -98,20 +98,20 @@
     control_loop &m_loop;
     decision_log &m_log;
     const hooks m_hooks;
-    // Guards m_holder, which traffic threads ask.
+    // Guards m_leaseManager, which traffic threads ask.
     mutable std::mutex m_mutex;
-    range_holder m_holder;
+    range_lease_manager m_leaseManager;
     key_rates m_rates;
     std::shared_ptr<const fleet_directory> m_directory = std::make_shared<fleet_directory>();
     std::optional<upstream_id> m_upstream;
     std::string m_address;
-    bool m_isLeaving = false;
+    bool m_isDraining = false;
     peers m_peers;
     queue_report m_queue;
     // Requests that run or wait per slot, smoothed.
     double m_inUse = 0;
     bool m_writePending = false;
-    bool m_giving = false;
+    bool m_moving = false;
     bool m_confirmPending = false;
     bool m_grantsPending = false;
     boot_time m_confirmedAt{};
@@ -122,12 +122,12 @@
     std::optional<steady_time> m_membersStableSince;
     size_t m_membersSeen = 0;
     // Released ranges whose record may or may not be written.
-    struct open_give
+    struct unconfirmed_move
     {
-        std::vector<released_range> given;
+        std::vector<released_range> moved;
         steady_time until;
     };
-    std::optional<open_give> m_openGive;
+    std::optional<unconfirmed_move> m_unconfirmedMove;
     // Declared last: their threads use the members above until they have ended.
     std::unique_ptr<background_worker> m_releaseWorker;
     std::unique_ptr<background_worker> m_grantWorker;
--- a/src/persimmonrail/router/range_keeper_giving.cpp
+++ b/src/persimmonrail/router/range_controller_moves.cpp
@@ -1,6 +1,6 @@
 // How an owner gives keys away: choosing them, releasing them, and writing the new owners.
 #include "persimmonrail/base/text.h"
-#include "persimmonrail/router/range_keeper.h"
+#include "persimmonrail/router/range_controller.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -17,16 +17,16 @@
 constexpr milliseconds calmMoveInterval{4000};
 constexpr double overload = 1.0;
 // Owners of one service write the same record, and the loser of a race writes again at once.
-constexpr int mostGiveRetries = 4;
+constexpr int maxMoveRetries = 4;
 // A write without an answer may take effect some seconds later. Released keys stay unserved so
 // long, or until a further write decides which of them the record shows.
-constexpr milliseconds longestOpenWrite{7000};
+constexpr milliseconds maxOpenWrite{7000};
 
 } // namespace
 
-void range_keeper::considerGiving(steady_time now)
+void range_controller::considerMove(steady_time now)
 {
-    if (m_giving || m_writePending || (!m_isLeaving && now - m_movedAt < moveInterval)
+    if (m_moving || m_writePending || (!m_isDraining && now - m_movedAt < moveInterval)
         || m_peers.live.empty() || bootNow() - m_confirmedAt > storeFreshness) {
         return;
     }
@@ -43,7 +43,7 @@
     if (others.empty()) {
         return;
     }
-    if (m_isLeaving) {
+    if (m_isDraining) {
         std::vector<planned_move> moves;
         size_t turn = 0;
         for (const key_interval &keys : ownIntervals()) {
@@ -55,13 +55,13 @@
             moves[0].keys.last = middle - 1;
         }
         if (!moves.empty()) {
-            startGiving(std::move(moves), "leaving");
+            startMove(std::move(moves), "leaving");
         }
         return;
     }
     const auto share = chooseShareForNewcomer(placed->placement, *m_upstream, m_peers.live);
     if (share) {
-        startGiving({*share}, "newcomer");
+        startMove({*share}, "newcomer");
         return;
     }
     const owner_load load = ownLoad();
@@ -71,12 +71,12 @@
     auto moves = chooseMoves(
         ownIntervals(), [this](shard_key key) { return m_rates.rate(key); }, load, m_peers.loads);
     if (!moves.empty()) {
-        startGiving(std::move(moves), "load");
+        startMove(std::move(moves), "load");
     }
 }
 
 // A full queue refuses what it can't serve, so its length alone hides how much is asked of it.
-owner_load range_keeper::ownLoad() const
+owner_load range_controller::ownLoad() const
 {
     double asked = 0;
     for (const key_interval &keys : ownIntervals()) {
@@ -85,22 +85,23 @@
         }
     }
     const int slots = std::max(m_queue.limit, 1);
-    const double offered = asked * std::chrono::duration<double>(m_queue.service).count() / slots;
-    return {*m_upstream, slots, std::max(offered, m_inUse), m_queue.service};
+    const double offered =
+        asked * std::chrono::duration<double>(m_queue.meanServiceTime).count() / slots;
+    return {*m_upstream, slots, std::max(offered, m_inUse), m_queue.meanServiceTime};
 }
 
-void range_keeper::startGiving(std::vector<planned_move> moves, std::string_view reason)
+void range_controller::startMove(std::vector<planned_move> moves, std::string_view reason)
 {
     {
         const std::lock_guard lock(m_mutex);
         std::erase_if(moves, [this](const planned_move &move) {
-            return !m_holder.mayGiveAway(move.keys, bootNow());
+            return !m_leaseManager.canMove(move.keys, bootNow());
         });
     }
     if (moves.empty()) {
         return;
     }
-    m_giving = true;
+    m_moving = true;
     std::vector<key_interval> intervals;
     for (const planned_move &move : moves) {
         intervals.push_back(move.keys);
@@ -110,9 +111,9 @@
     std::vector<release_order> orders;
     {
         const std::lock_guard lock(m_mutex);
-        m_holder.setGiving(intervals);
+        m_leaseManager.setMoving(intervals);
         for (const planned_move &move : moves) {
-            for (const range_grant &grant : m_holder.heldWithin(move.keys)) {
+            for (const range_grant &grant : m_leaseManager.heldWithin(move.keys)) {
                 orders.push_back({grant, move.target});
             }
         }
@@ -122,7 +123,7 @@
         {
             const std::lock_guard lock(m_mutex);
             std::erase_if(orders, [this](const release_order &order) {
-                return !m_holder.mayGiveAway(order.grant.keys, bootNow());
+                return !m_leaseManager.canMove(order.grant.keys, bootNow());
             });
         }
         release_outcome outcome = releaseAll(m_grants, address, orders);
@@ -133,80 +134,80 @@
             {
                 const std::lock_guard lock(m_mutex);
                 for (const released_range &range : released) {
-                    m_holder.onReleased(range.grant.keys, range.grant.fence);
+                    m_leaseManager.onReleased(range.grant.keys, range.grant.fence);
                 }
             }
-            finishGiving(released, mostGiveRetries);
+            finishMove(released, maxMoveRetries);
         });
     });
 }
 
-void range_keeper::endGiving()
+void range_controller::endMove()
 {
-    m_giving = false;
-    m_openGive.reset();
+    m_moving = false;
+    m_unconfirmedMove.reset();
     m_movedAt = std::chrono::steady_clock::now();
     {
         const std::lock_guard lock(m_mutex);
-        m_holder.setGiving({});
+        m_leaseManager.setMoving({});
     }
     renewGrants();
 }
 
-void range_keeper::finishGiving(const std::vector<released_range> &given, int tries)
+void range_controller::finishMove(const std::vector<released_range> &moved, int tries)
 {
     const auto *placed = m_directory->findPlacement(m_service);
-    if (placed == nullptr || given.empty()) {
-        endGiving();
+    if (placed == nullptr || moved.empty()) {
+        endMove();
         return;
     }
     key_placement next = placed->placement;
-    for (const released_range &part : given) {
+    for (const released_range &part : moved) {
         const key_interval keys = part.grant.keys;
         const owned_range range = next.rangeOf(keys.first);
         // The record may have changed while the release ran.
         if (m_upstream && range.owner == *m_upstream && range.keys.contains(keys.last)) {
-            next = giveRange(std::move(next), keys, part.target, part.handover);
+            next = moveRange(std::move(next), keys, part.target, part.handover);
         }
     }
     if (next == placed->placement) {
-        endGiving();
+        endMove();
         return;
     }
     write({std::move(next), placed->version, "give"},
-          [this, given, tries](write_result result) { onGiveWritten(given, tries, result); });
+          [this, moved, tries](write_result result) { onMoveWritten(moved, tries, result); });
 }
 
-void range_keeper::onGiveWritten(const std::vector<released_range> &given, int tries,
-                                 write_result result)
+void range_controller::onMoveWritten(const std::vector<released_range> &moved, int tries,
+                                     write_result result)
 {
     if (result == write_result::Lost && tries > 0) {
         // The released keys still have to go to their new owners.
-        m_openGive.reset();
-        finishGiving(given, tries - 1);
+        m_unconfirmedMove.reset();
+        finishMove(moved, tries - 1);
         return;
     }
-    if (result == write_result::Open && !m_openGive) {
-        m_openGive = {given, std::chrono::steady_clock::now() + longestOpenWrite};
+    if (result == write_result::Open && !m_unconfirmedMove) {
+        m_unconfirmedMove = {moved, std::chrono::steady_clock::now() + maxOpenWrite};
     }
     const bool isDecided = result == write_result::Written || result == write_result::Lost;
-    if (!m_openGive || isDecided) {
-        endGiving();
+    if (!m_unconfirmedMove || isDecided) {
+        endMove();
     }
 }
 
 // Writes again what may have been written: the first of these writes that takes effect makes the
 // others fail, since all expect the same version.
-void range_keeper::retryOpenGive(steady_time now)
+void range_controller::retryUnconfirmedMove(steady_time now)
 {
-    if (!m_openGive || m_writePending || now < m_nextWriteAt) {
+    if (!m_unconfirmedMove || m_writePending || now < m_nextWriteAt) {
         return;
     }
-    if (now >= m_openGive->until) {
-        endGiving();
+    if (now >= m_unconfirmedMove->until) {
+        endMove();
         return;
     }
-    finishGiving(std::vector(m_openGive->given), mostGiveRetries);
+    finishMove(std::vector(m_unconfirmedMove->moved), maxMoveRetries);
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/router/range_release.cpp
+++ b/src/persimmonrail/router/range_release.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Releases that wait at the same time; each holds a thread and a connection to the upstream.
-constexpr size_t mostAtOnce = 8;
+constexpr size_t maxAtOnce = 8;
 
 } // namespace
 
@@ -23,7 +23,7 @@
         }
     };
     std::vector<std::thread> helpers;
-    for (size_t i = 1; i < std::min(mostAtOnce, orders.size()); ++i) {
+    for (size_t i = 1; i < std::min(maxAtOnce, orders.size()); ++i) {
         helpers.emplace_back(work);
     }
     work();
--- a/src/persimmonrail/router/router.h
+++ b/src/persimmonrail/router/router.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "persimmonrail/fleet/upstream_member.h"
-#include "persimmonrail/keyspace/range_holder.h"
+#include "persimmonrail/keyspace/range_lease_manager.h"
 #include "persimmonrail/objects/object_api.h"
-#include "persimmonrail/relay/exchange_codec.h"
+#include "persimmonrail/proxy/exchange_codec.h"
 #include "persimmonrail/router/router_settings.h"
 #include "persimmonrail/routes/route_table.h"
 
--- a/src/persimmonrail/router/router_state.cpp
+++ b/src/persimmonrail/router/router_state.cpp
@@ -24,9 +24,9 @@
 constexpr milliseconds callerIdleTime{60000};
 // Longer than daemons keep idle connections, so that they close first.
 constexpr milliseconds peerIdleTime{6000};
-constexpr milliseconds relayBodyTimeout{2000};
+constexpr milliseconds storeProxyBodyTimeout{2000};
 // Values of the store are at most 1 MB.
-constexpr size_t maxRelayBytes = 2 * 1024 * 1024;
+constexpr size_t maxStoreProxyBytes = 2 * 1024 * 1024;
 
 random_source makeRandomSource()
 {
@@ -51,7 +51,7 @@
 router::state::state(const router_settings &settings, router_platform platform)
     : m_settings(settings)
     , m_platform(std::move(platform))
-    , m_store(makeRelayedStore(m_platform.store, makeRelayHooks()))
+    , m_store(makeProxiedStore(m_platform.store, makeStoreProxyHooks()))
     , m_log({settings.level, "", logLinesPerSecond, true})
     , m_feed(makeFeedId())
     , m_builder([this](const std::string &key, std::string_view reason) {
@@ -62,21 +62,21 @@
     , m_directory(std::make_shared<fleet_directory>())
 {
     const auto onObject = [this](const stored_object &object) { applyObject(object); };
-    m_ranges = std::make_unique<range_keeper>(m_settings.service, leaseTiming(m_settings), m_store,
-                                              m_platform.grants, m_loop, m_log,
-                                              range_keeper::hooks{onObject});
+    m_ranges = std::make_unique<range_controller>(m_settings.service, leaseTiming(m_settings),
+                                                  m_store, m_platform.grants, m_loop, m_log,
+                                                  range_controller::hooks{onObject});
     m_publisher = std::make_unique<member_publisher>(m_store, m_loop, m_log, onObject);
     m_peers = std::make_unique<peer_monitor>(m_loop);
-    m_runner = std::make_unique<upstream_runner>(m_platform.codec, makeRunnerHooks());
-    relay_path_options options;
+    m_dispatcher = std::make_unique<upstream_dispatcher>(m_platform.codec, makeDispatcherHooks());
+    request_proxy_options options;
     options.callerService = m_settings.service;
     options.availabilityZone = m_settings.availabilityZone;
     // The budget is shared by daemons that do not know each other's use of it, so each takes a
     // share of its own requests only, and a little for itself.
     options.retries = {m_settings.retryRatio * 0.6, 0.2, 2.0};
     options.linkBytesPerSecond = m_settings.linkMbps * 1e6 / 8;
-    m_path = std::make_unique<relay_path>(options, makePathHooks(), m_platform.codec, *m_runner,
-                                          m_log, m_metrics);
+    m_proxy = std::make_unique<request_proxy>(options, makeProxyHooks(), m_platform.codec,
+                                              *m_dispatcher, m_log, m_metrics);
 }
 
 router::state::~state()
@@ -128,13 +128,13 @@
                        [this](server_exchange &exchange) { serveReport(exchange); }));
     status.Update(open(m_callerServer, m_settings.callerAddress, m_settings.maxCallerConnections,
                        callerIdleTime,
-                       [this](server_exchange &exchange) { m_path->serveCaller(exchange); }));
+                       [this](server_exchange &exchange) { m_proxy->serveCaller(exchange); }));
     status.Update(open(m_readyServer, m_settings.readyAddress, fewConnections, callerIdleTime,
                        [this](server_exchange &exchange) { serveReady(exchange); }));
     if (!m_settings.metricsAddress.empty()) {
         status.Update(open(m_metricsServer, m_settings.metricsAddress, fewConnections,
                            callerIdleTime, [this](server_exchange &exchange) {
-                               exchange.answer(200, m_metrics.renderText(), "text/plain");
+                               exchange.respond(200, m_metrics.renderText(), "text/plain");
                            }));
     }
     return status;
@@ -143,11 +143,11 @@
 void router::state::addGauges()
 {
     m_metrics.addGauge("persimmonrail_in_flight",
-                       [this] { return static_cast<double>(m_path->inFlight()); });
+                       [this] { return static_cast<double>(m_proxy->inFlight()); });
     m_metrics.addGauge("persimmonrail_upstream_running",
-                       [this] { return static_cast<double>(m_runner->queue().running); });
+                       [this] { return static_cast<double>(m_dispatcher->queue().running); });
     m_metrics.addGauge("persimmonrail_upstream_waiting",
-                       [this] { return static_cast<double>(m_runner->queue().waiting); });
+                       [this] { return static_cast<double>(m_dispatcher->queue().waiting); });
     m_metrics.addGauge("persimmonrail_ready", [this] { return isReady() ? 1.0 : 0.0; });
     m_metrics.addGauge("persimmonrail_log_lines_dropped",
                        [this] { return static_cast<double>(m_log.droppedLines()); });
@@ -164,7 +164,7 @@
 void router::state::schedulePeriodicTasks()
 {
     m_loop.every(rangeInterval, [this](steady_time now) {
-        m_ranges->setOwnQueue(m_runner->queue());
+        m_ranges->setOwnQueue(m_dispatcher->queue());
         std::shared_ptr<const route_table> routes;
         std::shared_ptr<const fleet_directory> directory;
         bool listed = false;
@@ -177,7 +177,7 @@
         if (!listed) {
             return;
         }
-        publishEarlierLives(*directory);
+        publishEarlierIncarnations(*directory);
         m_publisher->tick(*directory, now);
         const service_rule *rule =
             routes != nullptr ? routes->findService(m_settings.service) : nullptr;
@@ -189,9 +189,9 @@
     m_loop.every(peer_monitor_options().pollInterval, [this](steady_time now) { pollPeers(now); });
 }
 
-upstream_runner_hooks router::state::makeRunnerHooks()
+upstream_dispatcher_hooks router::state::makeDispatcherHooks()
 {
-    upstream_runner_hooks hooks;
+    upstream_dispatcher_hooks hooks;
     hooks.local = [this] { return localTarget(); };
     hooks.mayServe = [this](shard_key key) { return m_ranges->mayServe(key); };
     hooks.countKey = [this](shard_key key) { m_ranges->countKey(key); };
@@ -203,13 +203,13 @@
             }
         });
     };
-    hooks.onAnswer = [this](const upstream_id &id) {
+    hooks.onResponse = [this](const upstream_id &id) {
         m_loop.post([this, id](steady_time now) {
             if (!m_upstream.report() || m_upstream.report()->id != id) {
                 return;
             }
             const upstream_phase before = m_upstream.phase();
-            m_upstream.onAnswer(now);
+            m_upstream.onResponse(now);
             if (m_upstream.phase() != before) {
                 onUpstreamChanged("answer", now);
             }
@@ -218,9 +218,9 @@
     return hooks;
 }
 
-relay_path_hooks router::state::makePathHooks()
+request_proxy_hooks router::state::makeProxyHooks()
 {
-    relay_path_hooks hooks;
+    request_proxy_hooks hooks;
     hooks.routes = [this] {
         const std::lock_guard lock(m_mutex);
         return m_routes;
@@ -237,32 +237,32 @@
 void router::state::servePeer(server_exchange &exchange)
 {
     if (exchange.request().getURI() == peerStatusesPath) {
-        exchange.answer(200, renderStatuses(), "text/plain");
+        exchange.respond(200, renderStatuses(), "text/plain");
         return;
     }
-    if (exchange.request().getURI() == storeRelayPath) {
+    if (exchange.request().getURI() == storeProxyPath) {
         std::string body;
         const io_status status = exchange.readAll(
-            body, maxRelayBytes, std::chrono::steady_clock::now() + relayBodyTimeout);
-        exchange.answer(status == io_status::Ok ? 200 : 400,
-                        status == io_status::Ok ? serveStoreRelay(m_platform.store, body) : "",
-                        "application/json");
+            body, maxStoreProxyBytes, std::chrono::steady_clock::now() + storeProxyBodyTimeout);
+        exchange.respond(status == io_status::Ok ? 200 : 400,
+                         status == io_status::Ok ? serveStoreProxy(m_platform.store, body) : "",
+                         "application/json");
         return;
     }
     if (std::string_view(exchange.request().getURI()).starts_with(changesPath)) {
-        exchange.answer(
+        exchange.respond(
             200,
             serveChanges(m_feed, exchange.request().getURI(), std::chrono::steady_clock::now()),
             "application/json");
         return;
     }
-    m_path->servePeer(exchange);
+    m_proxy->servePeer(exchange);
 }
 
 std::string router::state::renderStatuses() const
 {
     const local_target target = localTarget();
-    const bool takesWork = target.closed == relay_reason::None && !m_stopping;
+    const bool acceptsRequests = target.closed == proxy_reason::None && !m_stopping;
     std::vector<reported_status> others;
     {
         const std::lock_guard lock(m_mutex);
@@ -272,7 +272,7 @@
             other.age += std::chrono::duration_cast<milliseconds>(passed);
         }
     }
-    return encodeStatuses({m_runner->queue(), target.id, takesWork}, others);
+    return encodeStatuses({m_dispatcher->queue(), target.id, acceptsRequests}, others);
 }
 
 bool router::state::isReady() const
@@ -284,7 +284,7 @@
 void router::state::serveReady(server_exchange &exchange)
 {
     const bool ready = isReady();
-    exchange.answer(ready ? 200 : 503, ready ? "ready\n" : "not ready\n", "text/plain");
+    exchange.respond(ready ? 200 : 503, ready ? "ready\n" : "not ready\n", "text/plain");
 }
 
 void router::state::logEvent(std::string_view event, std::string_view detail)
@@ -308,7 +308,7 @@
     const steady_time end = begun + m_settings.gracePeriod - exitReserve;
     m_stopping = true;
     m_feed.stop();
-    logEvent("stop", absl::StrCat("in_flight=", m_path->inFlight()));
+    logEvent("stop", absl::StrCat("in_flight=", m_proxy->inFlight()));
     m_loop.post([this](steady_time now) {
         if (m_upstream.report()) {
             m_publisher->want(ownMember());
@@ -331,8 +331,8 @@
     // Ends idle connections, and the others after the request in progress; a request that is sent
     // later would be cut off by the end of the process.
     m_callerServer->stopListening();
-    waitUntil(end, [this] { return m_path->inFlight() == 0; });
-    logEvent("stopped", absl::StrCat("in_flight=", m_path->inFlight()));
+    waitUntil(end, [this] { return m_proxy->inFlight() == 0; });
+    logEvent("stopped", absl::StrCat("in_flight=", m_proxy->inFlight()));
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/router/router_state.h
+++ b/src/persimmonrail/router/router_state.h
@@ -2,13 +2,13 @@
 
 #include "persimmonrail/feed/relayed_watch.h"
 #include "persimmonrail/fleet/local_upstream.h"
-#include "persimmonrail/relay/relay_path.h"
+#include "persimmonrail/proxy/request_proxy.h"
 #include "persimmonrail/router/member_publisher.h"
 #include "persimmonrail/router/object_watcher.h"
 #include "persimmonrail/router/peer_monitor.h"
-#include "persimmonrail/router/range_keeper.h"
+#include "persimmonrail/router/range_controller.h"
 #include "persimmonrail/router/router.h"
-#include "persimmonrail/router/store_relay.h"
+#include "persimmonrail/router/store_proxy.h"
 
 #include <atomic>
 #include <map>
@@ -36,7 +36,7 @@
     absl::Status listen();
     void addGauges();
     void startWatchers();
-    store_relay_hooks makeRelayHooks();
+    store_proxy_hooks makeStoreProxyHooks();
     relayed_watch_hooks makeWatchHooks();
     // Daemons that this one follows; empty if it follows the store itself.
     std::vector<std::string> relays() const;
@@ -54,7 +54,7 @@
     void serveReport(server_exchange &exchange);
     void onUpstreamMessage(const upstream_message &message, steady_time now);
     void onUpstreamChanged(std::string_view cause, steady_time now);
-    void publishEarlierLives(const fleet_directory &directory);
+    void publishEarlierIncarnations(const fleet_directory &directory);
     void checkUpstream(steady_time now);
     upstream_member ownMember() const;
     local_target localTarget() const;
@@ -67,8 +67,8 @@
     std::string renderStatuses() const;
     void servePeer(server_exchange &exchange);
     bool isReady() const;
-    relay_path_hooks makePathHooks();
-    upstream_runner_hooks makeRunnerHooks();
+    request_proxy_hooks makeProxyHooks();
+    upstream_dispatcher_hooks makeDispatcherHooks();
     void logEvent(std::string_view event, std::string_view detail);
 
     const router_settings m_settings;
@@ -102,11 +102,11 @@
     // When a leaving upstream gets no more work, even for keys that it holds.
     steady_time m_drainEnd{};
 
-    std::unique_ptr<range_keeper> m_ranges;
+    std::unique_ptr<range_controller> m_ranges;
     std::unique_ptr<member_publisher> m_publisher;
     std::unique_ptr<peer_monitor> m_peers;
-    std::unique_ptr<upstream_runner> m_runner;
-    std::unique_ptr<relay_path> m_path;
+    std::unique_ptr<upstream_dispatcher> m_dispatcher;
+    std::unique_ptr<request_proxy> m_proxy;
     std::unique_ptr<object_watcher> m_desiredStateWatcher;
     std::unique_ptr<object_watcher> m_fleetWatcher;
     std::unique_ptr<http_server> m_callerServer;
--- a/src/persimmonrail/router/router_state_store.cpp
+++ b/src/persimmonrail/router/router_state_store.cpp
@@ -53,15 +53,16 @@
     m_fleetWatcher->start();
 }
 
-store_relay_hooks router::state::makeRelayHooks()
+store_proxy_hooks router::state::makeStoreProxyHooks()
 {
-    store_relay_hooks hooks;
+    store_proxy_hooks hooks;
     hooks.peers = [this] {
         std::vector<std::string> addresses;
         {
             const std::lock_guard lock(m_mutex);
             for (const auto &[name, known] : m_directory->members()) {
-                if (!known.member.isGone && known.member.peerAddress != m_settings.peerAddress) {
+                if (!known.member.isTerminated
+                    && known.member.peerAddress != m_settings.peerAddress) {
                     addresses.push_back(known.member.peerAddress);
                 }
             }
@@ -89,7 +90,7 @@
 {
     relayed_watch_hooks hooks;
     hooks.relays = [this] { return relays(); };
-    hooks.onDirectAnswer = [this](steady_time now) { m_feed.confirm(now); };
+    hooks.onDirectResponse = [this](steady_time now) { m_feed.confirm(now); };
     hooks.onSource = [this](std::string_view source, const absl::Status &reason) {
         logEvent("follow", absl::StrCat("source=", toAbsl(source), " reason=", reason.ToString()));
     };
@@ -148,13 +149,13 @@
     }
     for (const route &route : routes.routes()) {
         std::string parts;
-        for (const route_part &part : route.parts) {
+        for (const traffic_share &part : route.trafficShares) {
             absl::StrAppend(&parts, parts.empty() ? "" : ",", part.service, ":", part.weight);
         }
         m_log.write(log_level::Debug,
                     absl::StrCat("route name=", route.name, " host=", route.host,
                                  " prefix=", route.pathPrefix, " rank=", route.rank, " repeatable=",
-                                 route.repeatable, " target_ms=", route.target.count(),
+                                 route.repeatable, " target_ms=", route.objective.count(),
                                  " timeout_ms=", route.timeout.count(),
                                  " attempts=", route.maxAttempts, " parts=", parts));
     }
--- a/src/persimmonrail/router/router_state_upstream.cpp
+++ b/src/persimmonrail/router/router_state_upstream.cpp
@@ -24,20 +24,20 @@
     const io_status status =
         exchange.readAll(body, maxReportBytes, std::chrono::steady_clock::now() + reportTimeout);
     if (status != io_status::Ok) {
-        exchange.closeAfterAnswer();
-        exchange.answer(400, "", "text/plain");
+        exchange.closeAfterResponse();
+        exchange.respond(400, "", "text/plain");
         return;
     }
     const auto message = m_platform.parseReport(exchange.request().getURI(), body);
     if (!message.ok()) {
         m_log.write(log_level::Warn,
                     absl::StrCat("report ignored reason=", message.status().ToString()));
-        exchange.answer(400, "{}", "application/json");
+        exchange.respond(400, "{}", "application/json");
         return;
     }
     // The acknowledgement binds, so the daemon acts before it answers.
     m_loop.postAndWait([this, &message](steady_time now) { onUpstreamMessage(*message, now); });
-    exchange.answer(200, "{}", "application/json");
+    exchange.respond(200, "{}", "application/json");
 }
 
 void router::state::onUpstreamMessage(const upstream_message &message, steady_time now)
@@ -54,7 +54,7 @@
     }
     if (before && m_upstream.report() && before->id != m_upstream.report()->id) {
         // The process of the earlier life has ended, or its address would not be free.
-        m_runner->dropConnections(before->address);
+        m_dispatcher->dropConnections(before->address);
     }
     if (verdict == local_upstream::verdict::Changed) {
         onUpstreamChanged(message.isDeparture ? "departure" : "report", now);
@@ -71,8 +71,8 @@
     member.peerAddress = m_settings.peerAddress;
     member.slots = std::max(report.slots, 1);
     member.host = {m_settings.processorShare * m_settings.processorSpeed, m_settings.linkMbps};
-    member.isGone = m_upstream.phase() == upstream_phase::Absent;
-    member.isLeaving = !m_upstream.takesWork() || m_stopping;
+    member.isTerminated = m_upstream.phase() == upstream_phase::Absent;
+    member.isDraining = !m_upstream.acceptsRequests() || m_stopping;
     return member;
 }
 
@@ -86,32 +86,32 @@
     {
         const std::lock_guard lock(m_mutex);
         if (m_upstream.phase() == upstream_phase::Draining
-            && m_target.closed != relay_reason::Draining) {
+            && m_target.closed != proxy_reason::Draining) {
             m_drainEnd = now + m_settings.drainTimeout - drainReserve;
         }
         m_target.id = report.id;
         m_target.service = m_settings.service;
         m_target.address = m_settings.upstreamAddress;
-        m_target.closed = m_upstream.takesWork()             ? relay_reason::None
-            : m_upstream.phase() == upstream_phase::Draining ? relay_reason::Draining
-                                                             : relay_reason::UpstreamUnreachable;
+        m_target.closed = m_upstream.acceptsRequests()       ? proxy_reason::None
+            : m_upstream.phase() == upstream_phase::Draining ? proxy_reason::Draining
+                                                             : proxy_reason::UpstreamUnreachable;
     }
-    m_runner->setSlots(std::max(report.slots, 1));
+    m_dispatcher->setSlots(std::max(report.slots, 1));
     m_publisher->want(ownMember());
     const bool isThere = m_upstream.phase() != upstream_phase::Absent;
     m_ranges->setUpstream(isThere ? std::optional(report.id) : std::nullopt,
-                          m_settings.upstreamAddress, !m_upstream.takesWork());
+                          m_settings.upstreamAddress, !m_upstream.acceptsRequests());
 }
 
 // A host has one upstream. Once another one reports, the members that this daemon published before
 // it restarted have ended, whatever became of their last messages.
-void router::state::publishEarlierLives(const fleet_directory &directory)
+void router::state::publishEarlierIncarnations(const fleet_directory &directory)
 {
     if (!m_upstream.report()) {
         return;
     }
     for (const upstream_member &member :
-         earlierLives(directory, m_settings.peerAddress, m_upstream.report()->id)) {
+         earlierIncarnations(directory, m_settings.peerAddress, m_upstream.report()->id)) {
         m_publisher->want(member);
     }
 }
@@ -142,7 +142,7 @@
         m_peerStatuses = m_peers->health().known(now);
         m_peerStatusesAt = now;
     }
-    range_keeper::peers view = m_peers->health().view(isThere ? &own : nullptr, now);
+    range_controller::peers view = m_peers->health().view(isThere ? &own : nullptr, now);
     if (view.isCoordinator) {
         markUnreachable(*directory, view.unreachable, now);
     }
@@ -156,19 +156,19 @@
 {
     for (auto marked = m_marked.begin(); marked != m_marked.end();) {
         const auto *known = directory.findMember(marked->first);
-        if (known == nullptr || known->member.isLeaving) {
+        if (known == nullptr || known->member.isDraining) {
             m_publisher->forget(marked->first);
         }
         marked = now - marked->second >= markInterval ? m_marked.erase(marked) : std::next(marked);
     }
     for (const upstream_id &id : unreachable) {
         const auto *known = directory.findMember(id.name);
-        if (known == nullptr || known->member.id != id || known->member.isLeaving
+        if (known == nullptr || known->member.id != id || known->member.isDraining
             || m_marked.contains(id.name)) {
             continue;
         }
         upstream_member member = known->member;
-        member.isLeaving = true;
+        member.isDraining = true;
         m_publisher->want(member);
         m_marked[id.name] = now;
         logEvent("peer-unreachable", absl::StrCat("upstream=", toString(id)));
@@ -179,12 +179,12 @@
 {
     const std::lock_guard lock(m_mutex);
     local_target target = m_target;
-    if (m_closed && target.closed == relay_reason::None) {
-        target.closed = relay_reason::Stopping;
+    if (m_closed && target.closed == proxy_reason::None) {
+        target.closed = proxy_reason::Stopping;
     }
-    const bool servesKeys = target.closed == relay_reason::Draining && !m_closed
+    const bool servesKeys = target.closed == proxy_reason::Draining && !m_closed
         && std::chrono::steady_clock::now() < m_drainEnd;
-    target.closedForKeys = servesKeys ? relay_reason::None : target.closed;
+    target.closedForKeys = servesKeys ? proxy_reason::None : target.closed;
     return target;
 }
 
