--- a/src/persimmonrail/router/store_relay.cpp
+++ b/src/persimmonrail/router/store_proxy.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/router/store_relay.h"
+#include "persimmonrail/router/store_proxy.h"
 
 #include "persimmonrail/base/json_text.h"
 #include "persimmonrail/base/text.h"
@@ -9,7 +9,7 @@
 namespace persimmonrail {
 namespace {
 
-struct relay_call_text
+struct proxied_call_text
 {
     std::string operation;
     std::string key;
@@ -17,7 +17,7 @@
     std::string value;
 };
 
-std::string encodeCall(const relay_call_text &call)
+std::string encodeCall(const proxied_call_text &call)
 {
     Poco::JSON::Object object;
     object.set("operation", call.operation);
@@ -27,18 +27,18 @@
     return renderJson(object);
 }
 
-absl::StatusOr<relay_call_text> parseCall(std::string_view text)
+absl::StatusOr<proxied_call_text> parseCall(std::string_view text)
 {
     return decodeJson(text, "store call",
-                      [](const Poco::JSON::Object &object) -> absl::StatusOr<relay_call_text> {
-                          return relay_call_text{object.getValue<std::string>("operation"),
-                                                 object.getValue<std::string>("key"),
-                                                 object.getValue<uint64_t>("version"),
-                                                 object.getValue<std::string>("value")};
+                      [](const Poco::JSON::Object &object) -> absl::StatusOr<proxied_call_text> {
+                          return proxied_call_text{object.getValue<std::string>("operation"),
+                                                   object.getValue<std::string>("key"),
+                                                   object.getValue<uint64_t>("version"),
+                                                   object.getValue<std::string>("value")};
                       });
 }
 
-std::string encodeAnswer(const absl::StatusOr<object_list> &outcome)
+std::string encodeResponse(const absl::StatusOr<object_list> &outcome)
 {
     return renderJson(encodeObjectList(outcome));
 }
@@ -49,10 +49,10 @@
     return absl::IsUnavailable(status) || absl::IsResourceExhausted(status);
 }
 
-class relayed_store
+class proxied_store
 {
 public:
-    relayed_store(object_api direct, store_relay_hooks hooks, store_relay_options options)
+    proxied_store(object_api direct, store_proxy_hooks hooks, store_proxy_options options)
         : m_direct(std::move(direct))
         , m_hooks(std::move(hooks))
         , m_options(options)
@@ -107,51 +107,51 @@
     }
 
     template <typename Value, typename Direct, typename Take>
-    absl::StatusOr<Value> run(const Direct &direct, const relay_call_text &call, const Take &take)
+    absl::StatusOr<Value> run(const Direct &direct, const proxied_call_text &call, const Take &take)
     {
         absl::Status failure = absl::UnavailableError("store not reachable directly");
         if (mayGoDirect()) {
-            auto answer = direct();
-            noteDirect(answer.status());
-            if (!isPathFault(answer.status())) {
-                return answer;
+            auto response = direct();
+            noteDirect(response.status());
+            if (!isPathFault(response.status())) {
+                return response;
             }
-            failure = answer.status();
+            failure = response.status();
         }
         const std::vector<std::string> peers = m_hooks.peers();
-        const size_t count = std::min(peers.size(), static_cast<size_t>(m_options.mostPeers));
+        const size_t count = std::min(peers.size(), static_cast<size_t>(m_options.maxPeers));
         for (size_t i = 0; i < count; ++i) {
-            const auto answer = askPeer(peers[i], call);
-            if (answer.ok()) {
-                return take(*answer);
+            const auto response = askPeer(peers[i], call);
+            if (response.ok()) {
+                return take(*response);
             }
-            if (!isPathFault(answer.status())) {
-                return answer.status();
+            if (!isPathFault(response.status())) {
+                return response.status();
             }
         }
         return failure;
     }
 
-    absl::StatusOr<object_list> askPeer(const std::string &address, const relay_call_text &call)
+    absl::StatusOr<object_list> askPeer(const std::string &address, const proxied_call_text &call)
     {
-        const auto answer =
-            simpleRequest(m_client, address, "POST", storeRelayPath, encodeCall(call),
+        const auto response =
+            simpleRequest(m_client, address, "POST", storeProxyPath, encodeCall(call),
                           std::chrono::steady_clock::now() + m_options.peerTimeout);
-        if (!answer.ok()) {
+        if (!response.ok()) {
             // Only a write can have had an effect.
-            return call.operation == "put" && absl::IsUnknown(answer.status())
-                ? answer.status()
-                : absl::UnavailableError(answer.status().message());
+            return call.operation == "put" && absl::IsUnknown(response.status())
+                ? response.status()
+                : absl::UnavailableError(response.status().message());
         }
-        if (answer->status != 200) {
-            return absl::UnavailableError(absl::StrCat("peer answered ", answer->status));
+        if (response->status != 200) {
+            return absl::UnavailableError(absl::StrCat("peer answered ", response->status));
         }
-        return decodeJson(answer->body, "store answer", decodeObjectList);
+        return decodeJson(response->body, "store answer", decodeObjectList);
     }
 
     const object_api m_direct;
-    const store_relay_hooks m_hooks;
-    const store_relay_options m_options;
+    const store_proxy_hooks m_hooks;
+    const store_proxy_options m_options;
     http_client m_client;
     std::mutex m_mutex;
     bool m_isDirect = true;
@@ -160,39 +160,39 @@
 
 } // namespace
 
-object_api makeRelayedStore(object_api direct, store_relay_hooks hooks, store_relay_options options)
+object_api makeProxiedStore(object_api direct, store_proxy_hooks hooks, store_proxy_options options)
 {
-    object_api relayed = direct;
+    object_api proxied = direct;
     const auto store =
-        std::make_shared<relayed_store>(std::move(direct), std::move(hooks), options);
-    relayed.get = [store](const std::string &key) { return store->get(key); };
-    relayed.put = [store](const std::string &key, uint64_t version, const std::string &value) {
+        std::make_shared<proxied_store>(std::move(direct), std::move(hooks), options);
+    proxied.get = [store](const std::string &key) { return store->get(key); };
+    proxied.put = [store](const std::string &key, uint64_t version, const std::string &value) {
         return store->put(key, version, value);
     };
-    relayed.list = [store](const std::string &prefix) { return store->list(prefix); };
-    return relayed;
+    proxied.list = [store](const std::string &prefix) { return store->list(prefix); };
+    return proxied;
 }
 
-std::string serveStoreRelay(const object_api &direct, std::string_view body)
+std::string serveStoreProxy(const object_api &direct, std::string_view body)
 {
     const auto call = parseCall(body);
     if (!call.ok()) {
-        return encodeAnswer(call.status());
+        return encodeResponse(call.status());
     }
     if (call->operation == "get") {
         const auto object = direct.get(call->key);
-        return encodeAnswer(object.ok() ? absl::StatusOr<object_list>(object_list{0, {*object}})
-                                        : object.status());
+        return encodeResponse(object.ok() ? absl::StatusOr<object_list>(object_list{0, {*object}})
+                                          : object.status());
     }
     if (call->operation == "put") {
         const auto version = direct.put(call->key, call->version, call->value);
-        return encodeAnswer(version.ok() ? absl::StatusOr<object_list>(object_list{*version, {}})
-                                         : version.status());
+        return encodeResponse(version.ok() ? absl::StatusOr<object_list>(object_list{*version, {}})
+                                           : version.status());
     }
     if (call->operation == "list") {
-        return encodeAnswer(direct.list(call->key));
+        return encodeResponse(direct.list(call->key));
     }
-    return encodeAnswer(absl::InvalidArgumentError("unknown operation"));
+    return encodeResponse(absl::InvalidArgumentError("unknown operation"));
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/router/tests/object_watcher_test.cpp
+++ b/src/persimmonrail/router/tests/object_watcher_test.cpp
@@ -21,16 +21,16 @@
     std::vector<std::string> events;
     bool ended = false;
 
-    absl::StatusOr<object_list> take(std::deque<absl::StatusOr<object_list>> &answers)
+    absl::StatusOr<object_list> take(std::deque<absl::StatusOr<object_list>> &responses)
     {
         std::unique_lock lock(mutex);
-        changed.wait_for(lock, 10s, [&] { return ended || !answers.empty(); });
-        if (answers.empty()) {
+        changed.wait_for(lock, 10s, [&] { return ended || !responses.empty(); });
+        if (responses.empty()) {
             return absl::UnavailableError("no answer");
         }
-        auto answer = answers.front();
-        answers.pop_front();
-        return answer;
+        auto response = responses.front();
+        responses.pop_front();
+        return response;
     }
     object_api api()
     {
--- a/src/persimmonrail/router/tests/peer_health_test.cpp
+++ b/src/persimmonrail/router/tests/peer_health_test.cpp
@@ -30,9 +30,9 @@
         }
         return list;
     }
-    void answer(const std::string &name, steady_time now)
+    void respond(const std::string &name, steady_time now)
     {
-        health.onAnswer({name, 1}, {{3, 0, 9, 10ms}, {name, 1}, true}, now);
+        health.onResponse({name, 1}, {{3, 0, 9, 10ms}, {name, 1}, true}, now);
     }
 };
 
@@ -43,7 +43,7 @@
     fleet site;
     site.health.setPeers(site.peers(), start);
     for (const char *name : {"b", "c", "d"}) {
-        site.answer(name, start);
+        site.respond(name, start);
     }
     CHECK(site.health.view(&site.self, start).isCoordinator);
     CHECK(site.health.view(&site.self, start).live.size() == 4);
@@ -58,7 +58,7 @@
     fleet site;
     site.health.setPeers(site.peers(), start);
     for (const char *name : {"b", "c", "d"}) {
-        site.answer(name, start);
+        site.respond(name, start);
     }
     site.health.onSilence({"b", 1}, start + 2s);
     CHECK(site.health.view(&site.self, start + 2s).unreachable
@@ -66,7 +66,7 @@
     site.health.onSilence({"c", 1}, start + 2s);
     CHECK(site.health.view(&site.self, start + 2s).unreachable.empty());
     CHECK(site.health.view(&site.self, start + 9s).unreachable.size() == 2);
-    site.answer("b", start + 9s);
+    site.respond("b", start + 9s);
     CHECK(site.health.view(&site.self, start + 9s).unreachable
           == std::vector<upstream_id>{{"c", 1}});
 }
@@ -74,11 +74,11 @@
 TEST_CASE("members that leave are given no keys", "[router]")
 {
     fleet site;
-    site.members[0].isLeaving = true;
-    site.self.isLeaving = true;
+    site.members[0].isDraining = true;
+    site.self.isDraining = true;
     site.health.setPeers(site.peers(), start);
     for (const char *name : {"b", "c", "d"}) {
-        site.answer(name, start);
+        site.respond(name, start);
     }
     CHECK(site.health.view(&site.self, start).live.size() == 2);
 }
@@ -89,9 +89,9 @@
 {
     fleet site;
     site.health.setPeers(site.peers(), start);
-    site.answer("b", start);
-    site.health.onAnswer({"c", 1}, {{0, 0, 9, 10ms}, {"c", 1}, false}, start);
-    site.health.onAnswer({"d", 1}, {{0, 0, 9, 10ms}, {"e", 2}, true}, start);
+    site.respond("b", start);
+    site.health.onResponse({"c", 1}, {{0, 0, 9, 10ms}, {"c", 1}, false}, start);
+    site.health.onResponse({"d", 1}, {{0, 0, 9, 10ms}, {"e", 2}, true}, start);
     const auto view = site.health.view(&site.self, start);
     REQUIRE(view.loads.size() == 1);
     CHECK(view.loads[0].id.name == "b");
@@ -115,7 +115,7 @@
     const auto status = parsePeerStatus(encodePeerStatus({{3, 4, 9, 10ms}, {"i-1", 17}, true}));
     REQUIRE(status.has_value());
     CHECK(status->upstream == upstream_id{"i-1", 17});
-    CHECK(status->takesWork);
+    CHECK(status->acceptsRequests);
     CHECK(status->queue.waiting == 4);
     for (const char *text : {"", "1,2,3,4", "1,2,3,4;a;b;1", "x;a;1;1", "1,2,3,4;a;1;1;1"}) {
         CHECK_FALSE(parsePeerStatus(text).has_value());
@@ -170,7 +170,7 @@
     CHECK(namesOf(site.health.targets(&last)) == names{"b", "c"});
     site.health.onSilence({"c", 1}, start);
     CHECK(namesOf(site.health.targets(&third)) == names{"b", "c", "d"});
-    site.answer("b", start);
+    site.respond("b", start);
     CHECK(namesOf(site.health.targets(&third)) == names{"b"});
 }
 
@@ -178,8 +178,8 @@
 {
     fleet first;
     first.health.setPeers(first.peers(), start);
-    first.answer("b", start + 1s);
-    first.health.onAnswer({"c", 1}, {{8, 10, 9, 25ms}, {"c", 1}, true}, start + 2s);
+    first.respond("b", start + 1s);
+    first.health.onResponse({"c", 1}, {{8, 10, 9, 25ms}, {"c", 1}, true}, start + 2s);
     first.health.onSilence({"d", 1}, start + 2s);
     const peer_status own{{1, 0, 9, 10ms}, {"a", 1}, true};
     const auto told = parseStatuses(encodeStatuses(own, first.health.known(start + 2s)));
@@ -198,12 +198,12 @@
     REQUIRE(view.loads.size() == 2);
     CHECK(view.loads[1].id.name == "c");
     CHECK(view.loads[1].utilization == Approx(2.0));
-    CHECK(view.loads[1].service == 25ms);
+    CHECK(view.loads[1].meanServiceTime == 25ms);
     // The silent one is left out; the one that was not asked yet is believed.
     CHECK(view.live.size() == 4);
     CHECK(other.health.isUnreachable({"d", 1}, start + 2s));
     // Older news does not replace newer, and ends no silence that was noticed since.
-    other.health.onAnswer({"c", 1}, {{0, 0, 9, 25ms}, {"c", 1}, false}, start + 2s + 100ms);
+    other.health.onResponse({"c", 1}, {{0, 0, 9, 25ms}, {"c", 1}, false}, start + 2s + 100ms);
     other.health.onReported(told[2], start + 2s);
     CHECK(other.health.view(&other.self, start + 2s).loads.size() == 1);
 }
--- a/src/persimmonrail/router/tests/placement_write_test.cpp
+++ b/src/persimmonrail/router/tests/placement_write_test.cpp
@@ -23,8 +23,8 @@
 TEST_CASE("a write without an answer stays open until the record has changed", "[router]")
 {
     const key_placement before = assignUnowned(emptyPlacement("s"), {{a, 9}});
-    const key_placement after = giveRange(before, {10, 20}, b, "h");
-    const key_placement other = giveRange(before, {30, 40}, b, "h");
+    const key_placement after = moveRange(before, {10, 20}, b, "h");
+    const key_placement other = moveRange(before, {30, 40}, b, "h");
     const placement_write write{after, 5, "give"};
     const absl::Status lost = absl::UnknownError("no answer");
     const absl::Status conflict = absl::AbortedError("409");
--- a/src/persimmonrail/router/tests/store_relay_test.cpp
+++ b/src/persimmonrail/router/tests/store_proxy_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/router/store_relay.h"
+#include "persimmonrail/router/store_proxy.h"
 
 #include "persimmonrail/http/http_server.h"
 
@@ -58,23 +58,23 @@
     }
 };
 
-struct relay_site
+struct proxy_site
 {
     memory_store store;
     memory_store own;
     std::unique_ptr<http_server> peer;
     std::vector<bool> changes;
     steady_time now = steady_time(1000s);
-    object_api relayed;
+    object_api proxied;
 
-    relay_site()
+    proxy_site()
     {
         peer = std::move(*http_server::listen({}, [this](server_exchange &exchange) {
             std::string body;
             exchange.readAll(body, 1 << 20, std::chrono::steady_clock::now() + 5s);
-            exchange.answer(200, serveStoreRelay(store.api(), body), "application/json");
+            exchange.respond(200, serveStoreProxy(store.api(), body), "application/json");
         }));
-        relayed = makeRelayedStore(
+        proxied = makeProxiedStore(
             own.api(),
             {[this] {
                  return std::vector<std::string>{"127.0.0.1:1", peer->address()};
@@ -90,18 +90,18 @@
 // to the store is cut.
 TEST_CASE("calls go through a peer while the direct way fails", "[router]")
 {
-    relay_site site;
+    proxy_site site;
     site.own.fault = GENERATE(absl::UnavailableError("cut"), absl::ResourceExhaustedError("429"));
-    CHECK(*site.relayed.put("fleet/x", 0, R"({"a":"b"})") == 1);
-    CHECK(site.relayed.get("fleet/x")->value == R"({"a":"b"})");
-    CHECK(site.relayed.list("fleet/")->objects.size() == 1);
-    CHECK(absl::IsAborted(site.relayed.put("fleet/x", 7, "{}").status()));
-    CHECK(absl::IsNotFound(site.relayed.get("fleet/y").status()));
+    CHECK(*site.proxied.put("fleet/x", 0, R"({"a":"b"})") == 1);
+    CHECK(site.proxied.get("fleet/x")->value == R"({"a":"b"})");
+    CHECK(site.proxied.list("fleet/")->objects.size() == 1);
+    CHECK(absl::IsAborted(site.proxied.put("fleet/x", 7, "{}").status()));
+    CHECK(absl::IsNotFound(site.proxied.get("fleet/y").status()));
     // The direct way is not tried at each call.
     CHECK(site.own.calls == 1);
     site.own.fault = absl::OkStatus();
     site.now += 1s;
-    CHECK(absl::IsNotFound(site.relayed.get("fleet/x").status()));
+    CHECK(absl::IsNotFound(site.proxied.get("fleet/x").status()));
     CHECK(site.own.calls == 2);
     CHECK(site.changes == std::vector<bool>{false, true});
 }
@@ -109,19 +109,19 @@
 // Guards against a write that takes effect twice, or that is taken for one without effect.
 TEST_CASE("a write whose fate is unknown is not sent another way", "[router]")
 {
-    relay_site site;
+    proxy_site site;
     site.own.fault = absl::UnknownError("no answer");
-    CHECK(absl::IsUnknown(site.relayed.put("fleet/x", 0, "{}").status()));
+    CHECK(absl::IsUnknown(site.proxied.put("fleet/x", 0, "{}").status()));
     CHECK(site.store.calls == 0);
 }
 
 TEST_CASE("without any way the direct failure is told", "[router]")
 {
-    relay_site site;
+    proxy_site site;
     site.own.fault = absl::UnavailableError("cut");
     site.store.fault = absl::UnavailableError("down");
-    CHECK(absl::IsUnavailable(site.relayed.get("fleet/x").status()));
-    CHECK(absl::IsUnavailable(site.relayed.list("fleet/").status()));
+    CHECK(absl::IsUnavailable(site.proxied.get("fleet/x").status()));
+    CHECK(absl::IsUnavailable(site.proxied.list("fleet/").status()));
 }
 
 TEST_CASE("malformed calls of a peer are answered with an error", "[router]")
@@ -130,7 +130,7 @@
     const std::string body =
         GENERATE("", "[]", "{}", R"({"operation":"drop","key":"a","version":0,"value":""})",
                  R"({"operation":"put","key":"a","version":"x","value":""})");
-    const std::string answer = serveStoreRelay(store.api(), body);
-    CHECK(answer.find("\"code\":3") != std::string::npos);
+    const std::string response = serveStoreProxy(store.api(), body);
+    CHECK(response.find("\"code\":3") != std::string::npos);
     CHECK(store.calls == 0);
 }
--- a/src/persimmonrail/routes/route_table.cpp
+++ b/src/persimmonrail/routes/route_table.cpp
@@ -55,24 +55,24 @@
     return found == m_services.end() ? nullptr : &*found;
 }
 
-const route_part &choosePart(const route &route, uint64_t draw)
+const traffic_share &chooseTrafficShare(const route &route, uint64_t draw)
 {
     uint64_t total = 0;
-    for (const route_part &part : route.parts) {
+    for (const traffic_share &part : route.trafficShares) {
         total += static_cast<uint64_t>(std::max(part.weight, 0));
     }
     if (total == 0) {
-        return route.parts.front();
+        return route.trafficShares.front();
     }
     uint64_t position = draw % total;
-    for (const route_part &part : route.parts) {
+    for (const traffic_share &part : route.trafficShares) {
         const auto weight = static_cast<uint64_t>(std::max(part.weight, 0));
         if (position < weight) {
             return part;
         }
         position -= weight;
     }
-    return route.parts.back();
+    return route.trafficShares.back();
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/routes/route_table.h
+++ b/src/persimmonrail/routes/route_table.h
@@ -12,7 +12,7 @@
 namespace persimmonrail {
 
 // Share of a route's requests that one service gets.
-struct route_part
+struct traffic_share
 {
     std::string service;
     int weight = 1;
@@ -30,13 +30,13 @@
     // Longest time that a caller is kept waiting.
     milliseconds timeout{0};
     // Time within which an answer has its full worth.
-    milliseconds target{0};
+    milliseconds objective{0};
     // 0 is the most urgent.
     int rank = 0;
     // Most instances that one request may be sent to.
     int maxAttempts = 1;
     // At least one.
-    std::vector<route_part> parts;
+    std::vector<traffic_share> trafficShares;
 };
 
 struct service_rule
@@ -78,6 +78,6 @@
 };
 
 // Chooses a part by weight; `draw` is uniform over 64 bits. Parts without weight are not chosen.
-const route_part &choosePart(const route &route, uint64_t draw);
+const traffic_share &chooseTrafficShare(const route &route, uint64_t draw);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/routes/tests/route_table_test.cpp
+++ b/src/persimmonrail/routes/tests/route_table_test.cpp
@@ -14,7 +14,7 @@
     made.name = name;
     made.host = host;
     made.pathPrefix = prefix;
-    made.parts = {{"ledger", 1}};
+    made.trafficShares = {{"ledger", 1}};
     return made;
 }
 
@@ -60,12 +60,12 @@
 TEST_CASE("parts of a route are chosen by weight", "[routes]")
 {
     route split = makeRoute("split", "a.example", "/");
-    split.parts = {{"old", 90}, {"new", 10}, {"off", 0}};
+    split.trafficShares = {{"old", 90}, {"new", 10}, {"off", 0}};
     std::map<std::string, int> chosen;
     for (uint64_t draw = 0; draw < 1000; ++draw) {
-        ++chosen[choosePart(split, draw).service];
+        ++chosen[chooseTrafficShare(split, draw).service];
     }
     CHECK(chosen == std::map<std::string, int>{{"old", 900}, {"new", 100}});
-    split.parts = {{"only", 0}};
-    CHECK(choosePart(split, 5).service == "only");
+    split.trafficShares = {{"only", 0}};
+    CHECK(chooseTrafficShare(split, 5).service == "only");
 }
--- a/src/persimmonrail/routing/instance_picker.cpp
+++ b/src/persimmonrail/routing/instance_picker.cpp
@@ -10,7 +10,7 @@
 constexpr double latencySmoothing = 0.2;
 constexpr std::chrono::duration<double> latencyHalfLife{5};
 // Chance of a new instance to be drawn, relative to the others, at the start of its slow start.
-constexpr double rampMinimum = 0.1;
+constexpr double minRamp = 0.1;
 // Latency differences below this say nothing about load: the path between availability zones
 // alone takes about 3 ms there and back.
 constexpr double latencyNoiseMicroseconds = 3000;
@@ -94,11 +94,11 @@
     auto &finished = entry->second;
     finished.inFlight = std::max(0, finished.inFlight - 1);
     const auto sample = static_cast<double>(latency.count());
-    if (outcome == result::Answered) {
+    if (outcome == result::Responded) {
         finished.failures = 0;
     }
     // A failure that comes fast must not make the instance look fast.
-    if (outcome == result::Answered || (outcome == result::Failed && sample > finished.latency)) {
+    if (outcome == result::Responded || (outcome == result::Failed && sample > finished.latency)) {
         // The older the average, the more the sample counts.
         const double aged = 1 - decay(finished, now);
         const double weight = finished.latency == 0 ? 1 : std::max(latencySmoothing, aged);
@@ -142,9 +142,9 @@
 {
     instance *drawn = nullptr;
     for (int i = 0; i < rampDraws; ++i) {
-        drawn = candidates[drawBelow(m_random, candidates.size())];
+        drawn = candidates[randomBelow(m_random, candidates.size())];
         const double chance = ramp(*drawn, now);
-        if (chance >= 1 || drawFraction(m_random) < chance) {
+        if (chance >= 1 || randomFraction(m_random) < chance) {
             break;
         }
     }
@@ -179,8 +179,8 @@
 double instance_picker::score(const instance &candidate, steady_time now)
 {
     // Keeps the in-flight count in force for instances without samples or with very old ones.
-    constexpr double leastLatency = 100;
-    return (candidate.inFlight + 1.0) * std::max(leastLatency, latency(candidate, now))
+    constexpr double minLatency = 100;
+    return (candidate.inFlight + 1.0) * std::max(minLatency, latency(candidate, now))
         / std::max(1, candidate.member.slots);
 }
 
@@ -191,7 +191,7 @@
     }
     const std::chrono::duration<double> elapsed = now - candidate.rampStart;
     const std::chrono::duration<double> whole = m_options.slowStart;
-    return std::clamp(elapsed / whole, rampMinimum, 1.0);
+    return std::clamp(elapsed / whole, minRamp, 1.0);
 }
 
 void instance_picker::eject(instance &failing, steady_time now)
@@ -202,13 +202,13 @@
     if (failing.ejections > 0 && now - failing.ejectedUntil > m_options.ejectionMemory) {
         failing.ejections = 0;
     }
-    auto duration = m_options.ejectionInitial;
-    for (int i = 0; i < failing.ejections && duration < m_options.ejectionMaximum; ++i) {
+    auto duration = m_options.initialEjection;
+    for (int i = 0; i < failing.ejections && duration < m_options.maxEjection; ++i) {
         duration *= 2;
     }
     ++failing.ejections;
     failing.failures = 0;
-    failing.ejectedUntil = now + std::min(duration, m_options.ejectionMaximum);
+    failing.ejectedUntil = now + std::min(duration, m_options.maxEjection);
     failing.rampStart = failing.ejectedUntil;
 }
 
--- a/src/persimmonrail/routing/instance_picker.h
+++ b/src/persimmonrail/routing/instance_picker.h
@@ -22,8 +22,8 @@
     double overloadLatency = 2.0;
     // Consecutive failures that eject an instance.
     int failuresToEject = 3;
-    milliseconds ejectionInitial{1000};
-    milliseconds ejectionMaximum{60000};
+    milliseconds initialEjection{1000};
+    milliseconds maxEjection{60000};
     // Time without a new ejection after which the next one is short again.
     milliseconds ejectionMemory{30000};
     // A new or returning instance reaches its full chance of being drawn after this time.
@@ -42,7 +42,7 @@
 public:
     enum class result {
         // A complete response.
-        Answered,
+        Responded,
         // No or no complete response, or a refused connection.
         Failed,
         // Says nothing about the instance: cancelled by the caller, or shed under overload.
--- a/src/persimmonrail/routing/retry_budget.cpp
+++ b/src/persimmonrail/routing/retry_budget.cpp
@@ -6,11 +6,11 @@
 
 retry_budget::retry_budget(steady_time now, retry_budget_options options)
     : m_options(options)
-    , m_available(options.minimumPerSecond)
+    , m_available(options.minPerSecond)
     , m_refilledAt(now)
 { }
 
-void retry_budget::noteFirstAttempt(steady_time now)
+void retry_budget::recordFirstAttempt(steady_time now)
 {
     const std::lock_guard lock(m_mutex);
     refill(now);
@@ -37,8 +37,7 @@
         return;
     }
     const std::chrono::duration<double> elapsed = now - m_refilledAt;
-    m_available =
-        std::min(m_options.burst, m_available + elapsed.count() * m_options.minimumPerSecond);
+    m_available = std::min(m_options.burst, m_available + elapsed.count() * m_options.minPerSecond);
     m_refilledAt = now;
 }
 
--- a/src/persimmonrail/routing/retry_budget.h
+++ b/src/persimmonrail/routing/retry_budget.h
@@ -11,7 +11,7 @@
     // Retries allowed per first attempt.
     double ratio = 0.10;
     // Retries a second allowed in addition, so that a daemon with little traffic can retry at all.
-    double minimumPerSecond = 1.0;
+    double minPerSecond = 1.0;
     // Unused retries that are kept for later; bounds a burst.
     double burst = 50.0;
 };
@@ -24,7 +24,7 @@
 public:
     retry_budget(steady_time now, retry_budget_options options = {});
 
-    void noteFirstAttempt(steady_time now);
+    void recordFirstAttempt(steady_time now);
     // Takes one retry from the budget; returns false if none is left.
     bool tryRetry(steady_time now);
 
--- a/src/persimmonrail/routing/tests/instance_picker_test.cpp
+++ b/src/persimmonrail/routing/tests/instance_picker_test.cpp
@@ -47,9 +47,9 @@
     return picks;
 }
 
-result answered(const std::string &)
+result responded(const std::string &)
 {
-    return result::Answered;
+    return result::Responded;
 }
 
 } // namespace
@@ -83,7 +83,7 @@
             const auto picked = picker.pick({}, now + i * 10ms);
             const bool isSlow = picked->id.name == "local0";
             slowPicks += isSlow ? 1 : 0;
-            picker.finish(picked->id, result::Answered, isSlow ? slow : 5ms, now + i * 10ms);
+            picker.finish(picked->id, result::Responded, isSlow ? slow : 5ms, now + i * 10ms);
         }
         return slowPicks;
     };
@@ -101,7 +101,7 @@
     instance_picker picker("own", std::mt19937_64(5));
     picker.setInstances(pointers(members), start);
     serve(picker, 400, start, [failing = failing](const std::string &name) {
-        return name.back() - '0' < failing ? result::Failed : result::Answered;
+        return name.back() - '0' < failing ? result::Failed : result::Responded;
     });
     CHECK(picker.ejected(start) == ejected);
     CHECK(picker.ejected(start + 1s) == 0);
@@ -143,7 +143,7 @@
         members.pop_back();
     }
     picker.setInstances(pointers(members), start);
-    serve(picker, 300, start, answered);
+    serve(picker, 300, start, responded);
     auto now = start;
     if (isNew) {
         members.push_back(first);
@@ -154,7 +154,7 @@
         }
         now += 1s;
     }
-    const auto picks = serve(picker, 1200, now + elapsed, answered);
+    const auto picks = serve(picker, 1200, now + elapsed, responded);
     const int given = picks.count(first.id.name) == 0 ? 0 : picks.at(first.id.name);
     CHECK(given >= least);
     CHECK(given <= most);
@@ -191,7 +191,7 @@
                     picker.setInstances(pointers(members), start);
                 }
                 const auto picked = picker.pick({}, start);
-                picker.finish(picked->id, result::Answered, 1ms, start);
+                picker.finish(picked->id, result::Responded, 1ms, start);
             }
         });
     }
--- a/src/persimmonrail/routing/tests/routing_test.cpp
+++ b/src/persimmonrail/routing/tests/routing_test.cpp
@@ -79,7 +79,7 @@
             const auto now = start + second * 1s
                 + std::chrono::microseconds(1000000 / std::max(10, attemptsPerSecond) * i);
             if (i < attemptsPerSecond) {
-                budget.noteFirstAttempt(now);
+                budget.recordFirstAttempt(now);
             }
             retries += budget.tryRetry(now) ? 1 : 0;
         }
@@ -98,7 +98,7 @@
     for (int i = 0; i < 4; ++i) {
         threads.emplace_back([&] {
             for (int attempt = 0; attempt < 10000; ++attempt) {
-                budget.noteFirstAttempt(start);
+                budget.recordFirstAttempt(start);
             }
         });
     }
--- a/src/persimmonrail/sync/object_store.cpp
+++ b/src/persimmonrail/sync/object_replica.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/sync/object_store.h"
+#include "persimmonrail/sync/object_replica.h"
 
 #include "persimmonrail/sync/versioned_objects.h"
 #include "persimmonrail/sync/view_builder.h"
@@ -11,7 +11,7 @@
 namespace {
 
 // Floors are kept for this many instance names, about 1 MB.
-constexpr size_t maximumFloors = 16384;
+constexpr size_t maxMinimumRevisions = 16384;
 
 stored_object fromWire(const wire::Object &object)
 {
@@ -34,7 +34,7 @@
 
 } // namespace
 
-class object_store::state
+class object_replica::state
 {
 public:
     explicit state(hooks hooks)
@@ -47,7 +47,7 @@
     void adopt(const versioned_objects &source, uint64_t newRevision, uint64_t newHorizon,
                steady_time now);
     void noteRefusal();
-    uint64_t noteFloor(const instance_id &asking, uint64_t reported);
+    uint64_t noteMinimumRevision(const instance_id &asking, uint64_t reported);
 
     versioned_objects objects;
     uint64_t revision = 0;
@@ -56,11 +56,11 @@
     bool ready = false;
     int refusals = 0;
     std::optional<staged_state> staged;
-    std::unordered_map<std::string, uint64_t> floors;
+    std::unordered_map<std::string, uint64_t> minimumRevisions;
     view_builder views;
 };
 
-bool object_store::state::put(stored_object object, steady_time now)
+bool object_replica::state::put(stored_object object, steady_time now)
 {
     const std::string key = object.key;
     if (!objects.put(std::move(object), now)) {
@@ -70,7 +70,7 @@
     return true;
 }
 
-bool object_store::state::applyIncrement(const wire::PullReply &reply, steady_time now)
+bool object_replica::state::applyIncrement(const wire::PullReply &reply, steady_time now)
 {
     for (const auto &object : reply.objects()) {
         put(fromWire(object), now);
@@ -81,8 +81,8 @@
     return true;
 }
 
-bool object_store::state::applyPage(uint64_t afterRevision, const wire::PullReply &reply,
-                                    steady_time now)
+bool object_replica::state::applyPage(uint64_t afterRevision, const wire::PullReply &reply,
+                                      steady_time now)
 {
     if (afterRevision > staged->revision || reply.complete_to() <= staged->revision) {
         return false;
@@ -108,8 +108,8 @@
 }
 
 // Replaces the state by a complete one of a higher revision.
-void object_store::state::adopt(const versioned_objects &source, uint64_t newRevision,
-                                uint64_t newHorizon, steady_time now)
+void object_replica::state::adopt(const versioned_objects &source, uint64_t newRevision,
+                                  uint64_t newHorizon, steady_time now)
 {
     std::vector<std::string> missing;
     for (const auto &[key, object] : objects.byKey()) {
@@ -130,7 +130,7 @@
     staged.reset();
 }
 
-void object_store::state::noteRefusal()
+void object_replica::state::noteRefusal()
 {
     ++refusals;
     if (refusals >= refusalsBeforeWholePull) {
@@ -139,42 +139,42 @@
     }
 }
 
-uint64_t object_store::state::noteFloor(const instance_id &asking, uint64_t reported)
+uint64_t object_replica::state::noteMinimumRevision(const instance_id &asking, uint64_t reported)
 {
-    const auto entry = floors.find(asking.name);
-    if (entry != floors.end()) {
+    const auto entry = minimumRevisions.find(asking.name);
+    if (entry != minimumRevisions.end()) {
         const uint64_t before = entry->second;
         entry->second = std::max(before, reported);
         return before;
     }
-    if (floors.size() >= maximumFloors) {
-        floors.erase(std::min_element(floors.begin(), floors.end(), [](auto &left, auto &right) {
-            return left.second < right.second;
-        }));
+    if (minimumRevisions.size() >= maxMinimumRevisions) {
+        minimumRevisions.erase(
+            std::min_element(minimumRevisions.begin(), minimumRevisions.end(),
+                             [](auto &left, auto &right) { return left.second < right.second; }));
     }
-    floors.emplace(asking.name, reported);
+    minimumRevisions.emplace(asking.name, reported);
     return 0;
 }
 
-object_store::object_store(hooks hooks)
+object_replica::object_replica(hooks hooks)
     : m_state(std::make_unique<state>(std::move(hooks)))
 { }
 
-object_store::~object_store() = default;
+object_replica::~object_replica() = default;
 
-uint64_t object_store::revision() const
+uint64_t object_replica::revision() const
 {
     return m_state->revision;
 }
 
-const stored_object *object_store::find(std::string_view key) const
+const stored_object *object_replica::find(std::string_view key) const
 {
     const auto *object = m_state->objects.find(key);
     return object != nullptr && !object->deleted ? object : nullptr;
 }
 
-void object_store::visitPrefix(std::string_view prefix,
-                               const std::function<void(const stored_object &)> &visit) const
+void object_replica::visitPrefix(std::string_view prefix,
+                                 const std::function<void(const stored_object &)> &visit) const
 {
     const auto &objects = m_state->objects.byKey();
     for (auto entry = objects.lower_bound(prefix);
@@ -185,19 +185,20 @@
     }
 }
 
-size_t object_store::tombstones() const
+size_t object_replica::tombstones() const
 {
     return m_state->objects.tombstones();
 }
 
-wire::Pull object_store::nextPull() const
+wire::Pull object_replica::nextPull() const
 {
     wire::Pull pull;
     pull.set_after_revision(m_state->staged ? m_state->staged->revision : m_state->revision);
     return pull;
 }
 
-bool object_store::applyPull(uint64_t afterRevision, const wire::PullReply &reply, steady_time now)
+bool object_replica::applyPull(uint64_t afterRevision, const wire::PullReply &reply,
+                               steady_time now)
 {
     auto &state = *m_state;
     // A peer that is not ready states revision 0.
@@ -220,7 +221,7 @@
     return false;
 }
 
-bool object_store::applyWatch(uint64_t sinceRevision, const object_list &changes, steady_time now)
+bool object_replica::applyWatch(uint64_t sinceRevision, const object_list &changes, steady_time now)
 {
     auto &state = *m_state;
     if (sinceRevision > state.revision || changes.revision <= state.revision) {
@@ -235,7 +236,7 @@
     return true;
 }
 
-bool object_store::applyList(const object_list &list, steady_time now)
+bool object_replica::applyList(const object_list &list, steady_time now)
 {
     if (list.revision <= m_state->revision) {
         return false;
@@ -248,11 +249,11 @@
     return true;
 }
 
-wire::PullReply object_store::answerPull(const wire::Pull &pull, const instance_id &asking)
+wire::PullReply object_replica::respondToPull(const wire::Pull &pull, const instance_id &asking)
 {
     auto &state = *m_state;
     wire::PullReply reply;
-    reply.set_floor(state.noteFloor(asking, pull.after_revision()));
+    reply.set_floor(state.noteMinimumRevision(asking, pull.after_revision()));
     if (state.ready) {
         reply.set_revision(state.revision);
         reply.set_horizon(state.horizon);
@@ -261,20 +262,20 @@
     return reply;
 }
 
-void object_store::markReady()
+void object_replica::markReady()
 {
     m_state->ready = true;
 }
 
-void object_store::expireTombstones(steady_time now)
+void object_replica::expireTombstones(steady_time now)
 {
     const uint64_t dropped = m_state->objects.expire(now, [](size_t left, milliseconds age) {
-        return left > maximumTombstones || (left > tombstonesKept && age > tombstoneAge);
+        return left > maxTombstones || (left > tombstonesKept && age > tombstoneAge);
     });
     m_state->horizon = std::max(m_state->horizon, dropped);
 }
 
-std::shared_ptr<const fleet_view> object_store::buildView()
+std::shared_ptr<const fleet_view> object_replica::buildView()
 {
     return m_state->views.build(
         m_state->revision, [this](std::string_view key) { return m_state->objects.find(key); });
--- a/src/persimmonrail/sync/object_store.h
+++ b/src/persimmonrail/sync/object_replica.h
@@ -23,7 +23,7 @@
 inline constexpr size_t tombstonesKept = 4096;
 // Hard limit on tombstones, about 10 MB. Only more than 18 deletions a second over an hour reach
 // it; daemons further behind than the dropped ones then pull the whole state.
-inline constexpr size_t maximumTombstones = 65536;
+inline constexpr size_t maxTombstones = 65536;
 // Consecutive answers that can't be applied for lack of tombstones before the whole state is
 // pulled.
 inline constexpr int refusalsBeforeWholePull = 4;
@@ -37,7 +37,7 @@
 // staging area and adopts it at once when it is complete.
 //
 // Belongs to the control thread; the views it builds may be shared with other threads.
-class object_store
+class object_replica
 {
 public:
     struct hooks
@@ -48,10 +48,10 @@
         std::function<void(const stored_object &object, const absl::Status &status)> undecodable;
     };
 
-    explicit object_store(hooks hooks);
-    object_store(const object_store &) = delete;
-    object_store &operator=(const object_store &) = delete;
-    ~object_store();
+    explicit object_replica(hooks hooks);
+    object_replica(const object_replica &) = delete;
+    object_replica &operator=(const object_replica &) = delete;
+    ~object_replica();
 
     // Revision up to which every change is known.
     uint64_t revision() const;
@@ -78,7 +78,7 @@
     // Answers a peer's pull with objects in version order and remembers the revision it reported.
     // Until markReady() the answer holds only the floor, so that a daemon that may be behind is no
     // source for others.
-    wire::PullReply answerPull(const wire::Pull &pull, const instance_id &asking);
+    wire::PullReply respondToPull(const wire::Pull &pull, const instance_id &asking);
     void markReady();
 
     // Drops tombstones beyond the limits above. To be called about once a minute.
--- a/src/persimmonrail/sync/pull_schedule.cpp
+++ b/src/persimmonrail/sync/pull_schedule.cpp
@@ -29,7 +29,7 @@
     }
     // The groups in order of preference; a later one stands in for an empty one.
     std::array groups{&sameZone, &otherZone, &otherRegion};
-    const uint64_t draw = drawBelow(m_random, otherRegionEvery);
+    const uint64_t draw = randomBelow(m_random, otherRegionEvery);
     if (draw == 0) {
         groups = {&otherRegion, &otherZone, &sameZone};
     } else if (draw <= otherRegionEvery / otherZoneEvery) {
@@ -37,14 +37,14 @@
     }
     for (const auto *group : groups) {
         if (!group->empty()) {
-            const auto *member = (*group)[drawBelow(m_random, group->size())];
+            const auto *member = (*group)[randomBelow(m_random, group->size())];
             return target{member->id.name, member->controlAddress};
         }
     }
     if (m_seeds.empty()) {
         return std::nullopt;
     }
-    return target{"", m_seeds[drawBelow(m_random, m_seeds.size())]};
+    return target{"", m_seeds[randomBelow(m_random, m_seeds.size())]};
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/sync/readiness.cpp
+++ b/src/persimmonrail/sync/readiness.cpp
@@ -17,15 +17,15 @@
 
 void readiness::notePull(const instance_id &peer, const wire::PullReply &reply)
 {
-    m_floor = std::max(m_floor, reply.floor());
+    m_minimumRevision = std::max(m_minimumRevision, reply.floor());
     if (reply.revision() > 0 && peer.name != m_selfName) {
-        m_answers.try_emplace(peer.name, reply.revision());
+        m_replies.try_emplace(peer.name, reply.revision());
     }
 }
 
 bool readiness::evaluate(uint64_t revision, const fleet_view &view)
 {
-    if (!m_ready && revision >= m_floor) {
+    if (!m_ready && revision >= m_minimumRevision) {
         const bool platformApplied = m_platformRead && revision >= m_platformRevision;
         m_ready = platformApplied || hasCaughtUpWithPeers(revision, view);
     }
@@ -35,25 +35,25 @@
 bool readiness::hasCaughtUpWithPeers(uint64_t revision, const fleet_view &view) const
 {
     size_t others = 0;
-    size_t answered = 0;
+    size_t replied = 0;
     std::set<std::string_view> zones;
-    std::set<std::string_view> answeredZones;
+    std::set<std::string_view> repliedZones;
     for (const auto &[name, member] : view.members) {
         if (name == m_selfName) {
             continue;
         }
         ++others;
         zones.insert(member.availabilityZone);
-        const auto answer = m_answers.find(name);
-        if (answer != m_answers.end()) {
-            ++answered;
-            answeredZones.insert(member.availabilityZone);
+        const auto reply = m_replies.find(name);
+        if (reply != m_replies.end()) {
+            ++replied;
+            repliedZones.insert(member.availabilityZone);
         }
     }
-    const bool current = std::all_of(m_answers.begin(), m_answers.end(),
-                                     [&](const auto &answer) { return revision >= answer.second; });
-    return current && others > 0 && answered >= std::min(readinessPeers, others)
-        && answeredZones.size() >= std::min(readinessZones, zones.size());
+    const bool current = std::all_of(m_replies.begin(), m_replies.end(),
+                                     [&](const auto &reply) { return revision >= reply.second; });
+    return current && others > 0 && replied >= std::min(readinessPeers, others)
+        && repliedZones.size() >= std::min(readinessZones, zones.size());
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/sync/readiness.h
+++ b/src/persimmonrail/sync/readiness.h
@@ -38,7 +38,7 @@
     bool evaluate(uint64_t revision, const fleet_view &view);
     bool isReady() const { return m_ready; }
     // Highest revision that a peer remembers of this instance's earlier runs.
-    uint64_t floor() const { return m_floor; }
+    uint64_t minimumRevision() const { return m_minimumRevision; }
 
 private:
     bool hasCaughtUpWithPeers(uint64_t revision, const fleet_view &view) const;
@@ -47,9 +47,9 @@
     bool m_ready = false;
     bool m_platformRead = false;
     uint64_t m_platformRevision = 0;
-    uint64_t m_floor = 0;
+    uint64_t m_minimumRevision = 0;
     // Revision that each peer stated first.
-    std::map<std::string, uint64_t> m_answers;
+    std::map<std::string, uint64_t> m_replies;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/sync/relay_election.cpp
+++ b/src/persimmonrail/sync/relay_election.cpp
@@ -5,7 +5,7 @@
 relay_election::relay_election(std::string selfName, std::string availabilityZone,
                                steady_time started, const random_source &random)
     : m_availabilityZone(std::move(availabilityZone))
-    , m_bootstrapAt(started + milliseconds(drawBelow(random, bootstrapSpread.count())))
+    , m_bootstrapAt(started + milliseconds(randomBelow(random, bootstrapSpread.count())))
     , m_election(std::move(selfName), "relay/" + m_availabilityZone, relaysPerZone)
 { }
 
--- a/src/persimmonrail/sync/relay_election.h
+++ b/src/persimmonrail/sync/relay_election.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "persimmonrail/base/random_source.h"
-#include "persimmonrail/sync/rank_election.h"
+#include "persimmonrail/sync/rendezvous_election.h"
 
 #include <string>
 
@@ -25,7 +25,10 @@
     void setView(const fleet_view &view, steady_time now);
     // Members to ping each electionPingInterval.
     std::vector<member_record> pingTargets() const { return m_election.pingTargets(); }
-    void noteAnswer(std::string_view name, steady_time now) { m_election.noteAnswer(name, now); }
+    void recordResponse(std::string_view name, steady_time now)
+    {
+        m_election.recordResponse(name, now);
+    }
     // True while fewer than two higher-ranked members of the zone answered, or if no member of the
     // zone is known and the bootstrap delay has passed.
     bool isRelay(steady_time now) const;
@@ -34,7 +37,7 @@
     std::string m_availabilityZone;
     steady_time m_bootstrapAt;
     bool m_zoneKnown = false;
-    rank_election m_election;
+    rendezvous_election m_election;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/sync/relay_watch.cpp
+++ b/src/persimmonrail/sync/relay_watch.cpp
@@ -55,7 +55,7 @@
 
 void relay_watch::run()
 {
-    backoff delays(watchBackoffInitial, watchBackoffMaximum, m_hooks.random);
+    backoff delays(initialWatchBackoff, maxWatchBackoff, m_hooks.random);
     std::unique_lock lock(m_mutex);
     while (!m_stopping) {
         m_changed.wait(lock, [this] { return m_stopping || m_active; });
--- a/src/persimmonrail/sync/relay_watch.h
+++ b/src/persimmonrail/sync/relay_watch.h
@@ -16,8 +16,8 @@
 // Pause between two long polls. It lets one call fetch the changes of a burst: 48 relays make at
 // most 480 reads a second.
 inline constexpr milliseconds watchPause{100};
-inline constexpr milliseconds watchBackoffInitial{200};
-inline constexpr milliseconds watchBackoffMaximum{10000};
+inline constexpr milliseconds initialWatchBackoff{200};
+inline constexpr milliseconds maxWatchBackoff{10000};
 
 // Follows all platform objects on a thread of its own, while this daemon is a relay or not yet
 // ready: a list if nothing is known yet or the store has compacted the revision, then long polls.
--- a/src/persimmonrail/sync/rank_election.cpp
+++ b/src/persimmonrail/sync/rendezvous_election.cpp
@@ -1,16 +1,17 @@
-#include "persimmonrail/sync/rank_election.h"
+#include "persimmonrail/sync/rendezvous_election.h"
 
 #include <algorithm>
 
 namespace persimmonrail {
 
-rank_election::rank_election(std::string selfName, std::string subject, size_t holders)
+rendezvous_election::rendezvous_election(std::string selfName, std::string subject, size_t holders)
     : m_selfName(std::move(selfName))
     , m_subject(std::move(subject))
     , m_holders(holders)
 { }
 
-void rank_election::setMembers(const std::vector<const member_record *> &eligible, steady_time now)
+void rendezvous_election::setMembers(const std::vector<const member_record *> &eligible,
+                                     steady_time now)
 {
     std::vector<std::pair<uint64_t, const member_record *>> ranked;
     ranked.reserve(eligible.size());
@@ -36,14 +37,14 @@
     } else if (!m_candidateSince) {
         m_candidateSince = now;
     }
-    std::erase_if(m_answers, [&](const auto &answer) {
+    std::erase_if(m_responses, [&](const auto &response) {
         return std::none_of(
             m_candidates.begin(), m_candidates.end(),
-            [&](const member_record &member) { return member.id.name == answer.first; });
+            [&](const member_record &member) { return member.id.name == response.first; });
     });
 }
 
-std::vector<member_record> rank_election::pingTargets() const
+std::vector<member_record> rendezvous_election::pingTargets() const
 {
     std::vector<member_record> targets;
     if (m_candidateSince) {
@@ -53,17 +54,17 @@
     return targets;
 }
 
-void rank_election::noteAnswer(std::string_view name, steady_time now)
+void rendezvous_election::recordResponse(std::string_view name, steady_time now)
 {
     const bool known =
         std::any_of(m_candidates.begin(), m_candidates.end(),
                     [&](const member_record &member) { return member.id.name == name; });
     if (known) {
-        m_answers.insert_or_assign(std::string(name), now);
+        m_responses.insert_or_assign(std::string(name), now);
     }
 }
 
-bool rank_election::holdsRole(steady_time now) const
+bool rendezvous_election::holdsRole(steady_time now) const
 {
     if (!m_candidateSince) {
         return false;
@@ -75,15 +76,15 @@
             break;
         }
         ++higher;
-        const auto answer = m_answers.find(member.id.name);
-        if (answer != m_answers.end() && now - answer->second < electionAnswerAge) {
+        const auto response = m_responses.find(member.id.name);
+        if (response != m_responses.end() && now - response->second < electionResponseAge) {
             ++alive;
         }
     }
     return higher < m_holders || (alive < m_holders && now - *m_candidateSince >= electionGrace);
 }
 
-std::vector<std::string> rank_election::candidates() const
+std::vector<std::string> rendezvous_election::candidates() const
 {
     std::vector<std::string> names;
     names.reserve(m_candidates.size());
--- a/src/persimmonrail/sync/rank_election.h
+++ b/src/persimmonrail/sync/rendezvous_election.h
@@ -15,7 +15,7 @@
 inline constexpr size_t electionCandidates = 6;
 inline constexpr milliseconds electionPingInterval{1000};
 // A member counts as alive for this time after an answer.
-inline constexpr milliseconds electionAnswerAge{5000};
+inline constexpr milliseconds electionResponseAge{5000};
 // Time that a new candidate gives higher-ranked members to answer before it takes the role.
 inline constexpr milliseconds electionGrace{2000};
 
@@ -24,16 +24,16 @@
 // harm; whatever the role writes is written by conditional update.
 //
 // Belongs to the control thread.
-class rank_election
+class rendezvous_election
 {
 public:
-    rank_election(std::string selfName, std::string subject, size_t holders);
+    rendezvous_election(std::string selfName, std::string subject, size_t holders);
 
     // Ranks the eligible members anew; to be called when the view has changed.
     void setMembers(const std::vector<const member_record *> &eligible, steady_time now);
     // Members to ping each electionPingInterval; empty if this daemon is no candidate.
     std::vector<member_record> pingTargets() const;
-    void noteAnswer(std::string_view name, steady_time now);
+    void recordResponse(std::string_view name, steady_time now);
     bool holdsRole(steady_time now) const;
     bool isCandidate() const { return m_candidateSince.has_value(); }
     // Names of the candidates, the highest rank first.
@@ -45,7 +45,7 @@
     size_t m_holders;
     std::vector<member_record> m_candidates;
     std::optional<steady_time> m_candidateSince;
-    std::map<std::string, steady_time, std::less<>> m_answers;
+    std::map<std::string, steady_time, std::less<>> m_responses;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/sync/tests/election_test.cpp
+++ b/src/persimmonrail/sync/tests/election_test.cpp
@@ -27,11 +27,11 @@
     return view;
 }
 
-wire::PullReply statedRevision(uint64_t revision, uint64_t floor)
+wire::PullReply statedRevision(uint64_t revision, uint64_t minimumRevision)
 {
     wire::PullReply reply;
     reply.set_revision(revision);
-    reply.set_floor(floor);
+    reply.set_floor(minimumRevision);
     return reply;
 }
 
@@ -80,7 +80,7 @@
     for (const auto &[name, member] : view.members) {
         elections.try_emplace(name, name, "a1", start, random).first->second.setView(view, start);
     }
-    rank_election ranking("", "relay/a1", relaysPerZone);
+    rendezvous_election ranking("", "relay/a1", relaysPerZone);
     std::vector<const member_record *> members;
     for (const auto &[name, member] : view.members) {
         members.push_back(&member);
@@ -96,14 +96,13 @@
     }
     for (auto now = start; now <= start + 20s; now += electionPingInterval) {
         // The lost members answer until second 8 and count as alive for 5 s more.
-        const auto &answering = now < start + 8s ? candidates : live;
+        const auto &replying = now < start + 8s ? candidates : live;
         std::vector<std::string> relays;
-        for (const auto &name : answering) {
+        for (const auto &name : replying) {
             auto &election = elections.at(name);
             for (const auto &target : election.pingTargets()) {
-                if (std::find(answering.begin(), answering.end(), target.id.name)
-                    != answering.end()) {
-                    election.noteAnswer(target.id.name, now);
+                if (std::find(replying.begin(), replying.end(), target.id.name) != replying.end()) {
+                    election.recordResponse(target.id.name, now);
                 }
             }
             if (election.isRelay(now)) {
@@ -111,7 +110,7 @@
             }
         }
         if (now == start + 7s || now >= start + 13s) {
-            REQUIRE(relays == std::vector(answering.begin(), answering.begin() + 2));
+            REQUIRE(relays == std::vector(replying.begin(), replying.begin() + 2));
         }
     }
     for (const auto &[name, election] : elections) {
@@ -134,11 +133,11 @@
 // Guards against a fresh daemon that adopts a state older than one in force.
 TEST_CASE("a fresh daemon is ready only by the platform or enough peers")
 {
-    struct answer
+    struct stated_reply
     {
         std::string peer;
         uint64_t revision;
-        uint64_t floor;
+        uint64_t minimumRevision;
     };
     struct row
     {
@@ -147,7 +146,7 @@
         int perZone;
         // 0 if the platform was not read.
         uint64_t platform;
-        std::vector<answer> answers;
+        std::vector<stated_reply> replies;
         bool ready;
     };
     const std::vector<std::string> two{"a1", "a2"};
@@ -173,8 +172,8 @@
     if (row.platform > 0) {
         ready.notePlatformRead(row.platform);
     }
-    for (const auto &answer : row.answers) {
-        ready.notePull({answer.peer, 1}, statedRevision(answer.revision, answer.floor));
+    for (const auto &reply : row.replies) {
+        ready.notePull({reply.peer, 1}, statedRevision(reply.revision, reply.minimumRevision));
     }
     CHECK(ready.evaluate(9, makeView(row.zones, row.perZone)) == row.ready);
 }
--- a/src/persimmonrail/sync/tests/gossip_test.cpp
+++ b/src/persimmonrail/sync/tests/gossip_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/sync/object_store.h"
+#include "persimmonrail/sync/object_replica.h"
 #include "persimmonrail/sync/pull_schedule.h"
 #include "persimmonrail/sync/readiness.h"
 
@@ -56,14 +56,14 @@
 {
     member_record member;
     bool isRelay = false;
-    std::unique_ptr<object_store> store;
+    std::unique_ptr<object_replica> store;
     std::unique_ptr<readiness> ready;
     std::unique_ptr<pull_schedule> schedule;
     std::map<std::string, uint64_t> versions;
     // Revision at the last restart.
     uint64_t formerRevision = 0;
     // Highest floor that an answering peer can have known since the restart.
-    uint64_t floorHeard = 0;
+    uint64_t minimumRevisionHeard = 0;
     // What this daemon was told by each asking instance.
     std::map<std::string, uint64_t> reported;
     uint64_t checkedRevision = 0;
@@ -143,7 +143,7 @@
         fresh.isRelay = daemon.isRelay;
         fresh.formerRevision = formerRevision;
         daemon = std::move(fresh);
-        daemon.store = std::make_unique<object_store>(object_store::hooks{
+        daemon.store = std::make_unique<object_replica>(object_replica::hooks{
             [](std::string_view) { return absl::UnimplementedError("no documents"); }, nullptr});
         daemon.ready = std::make_unique<readiness>(name);
         daemon.schedule = std::make_unique<pull_schedule>(
@@ -207,16 +207,16 @@
         for (bool more = true; more;) {
             const auto request = daemon.store->nextPull();
             const uint64_t after = request.after_revision();
-            const auto answer = peer.store->answerPull(request, daemon.member.id);
+            const auto reply = peer.store->respondToPull(request, daemon.member.id);
             const uint64_t known = peer.reported[name];
             peer.reported[name] = std::max(known, after);
             if (fraction() < m_scenario.loss) {
                 return;
             }
-            daemon.floorHeard = std::max(daemon.floorHeard, known);
-            daemon.ready->notePull(peer.member.id, answer);
-            more = daemon.store->applyPull(after, answer, m_now)
-                && answer.complete_to() < answer.revision();
+            daemon.minimumRevisionHeard = std::max(daemon.minimumRevisionHeard, known);
+            daemon.ready->notePull(peer.member.id, reply);
+            more = daemon.store->applyPull(after, reply, m_now)
+                && reply.complete_to() < reply.revision();
         }
     }
 
@@ -226,7 +226,7 @@
         if (!daemon.wasReady && daemon.ready->evaluate(revision, m_view)) {
             daemon.wasReady = true;
             daemon.store->markReady();
-            REQUIRE(revision >= daemon.floorHeard);
+            REQUIRE(revision >= daemon.minimumRevisionHeard);
             readyBelowFormer += revision < daemon.formerRevision ? 1 : 0;
         }
         if (revision == daemon.checkedRevision) {
--- a/src/persimmonrail/sync/tests/object_store_test.cpp
+++ b/src/persimmonrail/sync/tests/object_replica_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/sync/object_store.h"
+#include "persimmonrail/sync/object_replica.h"
 
 #include <catch2/catch.hpp>
 
@@ -12,7 +12,7 @@
 const steady_time start = steady_time{} + 1h;
 const instance_id asking{"asking", 1};
 
-object_store::hooks noHooks()
+object_replica::hooks noHooks()
 {
     return {[](std::string_view) { return absl::UnimplementedError("no documents"); }, nullptr};
 }
@@ -45,11 +45,11 @@
 }
 
 // Pulls until nothing more comes.
-int pullAll(object_store &from, object_store &to)
+int pullAll(object_replica &from, object_replica &to)
 {
     for (int pages = 0;; ++pages) {
         const auto pull = to.nextPull();
-        if (!to.applyPull(pull.after_revision(), from.answerPull(pull, asking), start)) {
+        if (!to.applyPull(pull.after_revision(), from.respondToPull(pull, asking), start)) {
             return pages;
         }
     }
@@ -78,11 +78,11 @@
         {"source lacks tombstones that are needed", 10, 20, 11, false, 10},
     }));
     CAPTURE(row.name);
-    object_store store(noHooks());
+    object_replica store(noHooks());
     REQUIRE(store.applyList({10, {object("a", 9, "known")}}, start));
-    const auto answer =
+    const auto pulled =
         reply({object("a", 4, "old"), object("b", 15)}, row.completeTo, 20, row.horizon);
-    CHECK(store.applyPull(row.after, answer, start) == row.applied);
+    CHECK(store.applyPull(row.after, pulled, start) == row.applied);
     CHECK(store.revision() == row.revision);
     CHECK(store.find("a")->value == "known");
     CHECK((store.find("b") != nullptr) == row.applied);
@@ -92,7 +92,7 @@
 {
     const auto [since, revision, applied] = GENERATE(table<uint64_t, uint64_t, bool>(
         {{10, 12, true}, {8, 12, true}, {11, 12, false}, {10, 10, false}, {3, 9, false}}));
-    object_store store(noHooks());
+    object_replica store(noHooks());
     REQUIRE(store.applyList({10, {object("a", 9)}}, start));
     CHECK(store.applyWatch(since, {revision, {tombstone("a", 12)}}, start) == applied);
     CHECK((store.find("a") == nullptr) == applied);
@@ -102,7 +102,7 @@
 // list that brings deleted objects back.
 TEST_CASE("a list deletes what it lacks, an old list does nothing")
 {
-    object_store store(noHooks());
+    object_replica store(noHooks());
     store.applyList({10, {object("a", 9), object("b", 10)}}, start);
     CHECK(store.applyList({20, {object("b", 15)}}, start));
     CHECK(store.find("a") == nullptr);
@@ -115,7 +115,7 @@
 // against the objects of one version being separated.
 TEST_CASE("a large state is pulled in pages")
 {
-    object_store from(noHooks());
+    object_replica from(noHooks());
     object_list list{1000, {}};
     for (uint64_t i = 1; i <= 300; ++i) {
         list.objects.push_back(object("key" + std::to_string(i), i, std::string(1000, 'x')));
@@ -124,7 +124,7 @@
     from.applyList(list, start);
     from.applyList({1001, {list.objects.begin() + 2, list.objects.end()}}, start);
     from.markReady();
-    object_store to(noHooks());
+    object_replica to(noHooks());
     const int pages = pullAll(from, to);
     CHECK(pages >= 6);
     CHECK(to.revision() == 1001);
@@ -137,27 +137,27 @@
 // Guards against a daemon that may be behind becoming a source, and against a forgotten floor.
 TEST_CASE("answers hold the floor, and objects only once ready")
 {
-    object_store store(noHooks());
+    object_replica store(noHooks());
     store.applyList({10, {object("a", 9)}}, start);
     wire::Pull pull;
     pull.set_after_revision(7);
-    CHECK(store.answerPull(pull, asking).objects().empty());
-    CHECK(store.answerPull(pull, asking).revision() == 0);
+    CHECK(store.respondToPull(pull, asking).objects().empty());
+    CHECK(store.respondToPull(pull, asking).revision() == 0);
     store.markReady();
     pull.set_after_revision(2);
-    const auto answer = store.answerPull(pull, {"asking", 2});
-    CHECK(answer.floor() == 7);
-    CHECK(answer.objects_size() == 1);
-    CHECK(answer.complete_to() == 10);
-    CHECK(store.answerPull(pull, {"other", 1}).floor() == 0);
+    const auto reply = store.respondToPull(pull, {"asking", 2});
+    CHECK(reply.floor() == 7);
+    CHECK(reply.objects_size() == 1);
+    CHECK(reply.complete_to() == 10);
+    CHECK(store.respondToPull(pull, {"other", 1}).floor() == 0);
 }
 
 // Guards against a deletion that a daemon misses because its peers have dropped the tombstone.
 TEST_CASE("a daemon behind the kept tombstones pulls the whole state")
 {
     constexpr uint64_t deletions = tombstonesKept + 1000;
-    object_store behind(noHooks());
-    object_store peer(noHooks());
+    object_replica behind(noHooks());
+    object_replica peer(noHooks());
     object_list list{deletions, {}};
     for (uint64_t i = 1; i <= deletions; ++i) {
         list.objects.push_back(object("key" + std::to_string(i), i));
@@ -190,7 +190,7 @@
 TEST_CASE("a whole pull goes on only at peers that know the deletions since its first page")
 {
     const auto [horizon, applied] = GENERATE(table<uint64_t, bool>({{100, true}, {101, false}}));
-    object_store store(noHooks());
+    object_replica store(noHooks());
     // Complete up to 50 in the state of revision 100; "a" is deleted at 101.
     REQUIRE(store.applyPull(0, reply({object("a", 10)}, 50, 100, 20), start));
     CHECK(store.applyPull(50, reply({object("b", 60)}, 110, 110, horizon), start) == applied);
@@ -204,29 +204,29 @@
     for (uint64_t i = 1; i <= 1000; ++i) {
         list.objects.push_back(object(std::string(100, 'k') + std::to_string(i), i));
     }
-    object_store from(noHooks());
-    object_store to(noHooks());
+    object_replica from(noHooks());
+    object_replica to(noHooks());
     from.applyWatch(0, list, start);
     to.applyWatch(0, list, start);
     from.applyList({2001, {object("a", 2001)}}, start);
     wire::Pull pull;
     pull.set_after_revision(2000);
     from.markReady();
-    CHECK(from.answerPull(pull, asking).objects_size() == 1001);
+    CHECK(from.respondToPull(pull, asking).objects_size() == 1001);
     pull.set_after_revision(1);
-    CHECK(from.answerPull(pull, asking).complete_to() == 2001);
+    CHECK(from.respondToPull(pull, asking).complete_to() == 2001);
 }
 
 TEST_CASE("tombstones have a hard limit")
 {
-    object_store store(noHooks());
-    object_list changes{2 * maximumTombstones, {}};
-    for (uint64_t i = 1; i <= maximumTombstones + 10; ++i) {
+    object_replica store(noHooks());
+    object_list changes{2 * maxTombstones, {}};
+    for (uint64_t i = 1; i <= maxTombstones + 10; ++i) {
         changes.objects.push_back(tombstone("key" + std::to_string(i), i));
     }
     store.applyWatch(0, changes, start);
     store.expireTombstones(start);
-    CHECK(store.tombstones() == maximumTombstones);
+    CHECK(store.tombstones() == maxTombstones);
 }
 
 // Guards against one faulty object taking the whole view, or its own last good version, out of
@@ -234,17 +234,17 @@
 TEST_CASE("an undecodable object keeps its last good version in force")
 {
     std::vector<std::string> reported;
-    object_store store({[](std::string_view value) -> absl::StatusOr<service_document> {
-                            if (value == "bad") {
-                                return absl::InvalidArgumentError("bad");
-                            }
-                            service_document document;
-                            document.service = std::string(value);
-                            return document;
-                        },
-                        [&](const stored_object &object, const absl::Status &) {
-                            reported.push_back(object.key);
-                        }});
+    object_replica store({[](std::string_view value) -> absl::StatusOr<service_document> {
+                              if (value == "bad") {
+                                  return absl::InvalidArgumentError("bad");
+                              }
+                              service_document document;
+                              document.service = std::string(value);
+                              return document;
+                          },
+                          [&](const stored_object &object, const absl::Status &) {
+                              reported.push_back(object.key);
+                          }});
     member_record member{{"m", 7}, "r", "z", "s", "127.0.0.1:1", "127.0.0.1:2", 1};
     store.applyList(
         {10, {object("member/m", 1, encodeMember(member)), object("accepted/s", 2, "s")}}, start);
@@ -273,7 +273,7 @@
 TEST_CASE("views are equal to newly built ones and don't change while held")
 {
     std::mt19937_64 random(11);
-    object_store store(noHooks());
+    object_replica store(noHooks());
     std::map<std::string, stored_object> platform;
     std::vector<std::pair<std::shared_ptr<const fleet_view>, std::string>> held;
     const auto describe = [](const fleet_view &view) {
@@ -319,7 +319,7 @@
                     list.objects.push_back(object);
                 }
             }
-            object_store fresh(noHooks());
+            object_replica fresh(noHooks());
             fresh.applyList(list, start);
             REQUIRE(describe(*view) == describe(*fresh.buildView()));
         }
--- a/src/persimmonrail/sync/tests/relay_watch_test.cpp
+++ b/src/persimmonrail/sync/tests/relay_watch_test.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-struct scripted_answer
+struct scripted_response
 {
     absl::Status status;
     uint64_t revision = 0;
 };
 
-scripted_answer upTo(uint64_t revision)
+scripted_response upTo(uint64_t revision)
 {
     return {absl::OkStatus(), revision};
 }
@@ -31,7 +31,7 @@
     {
         std::string name;
         uint64_t known;
-        std::vector<scripted_answer> script;
+        std::vector<scripted_response> script;
         std::vector<std::string> events;
     };
     const auto row = GENERATE(values<struct row>({
@@ -59,7 +59,7 @@
     std::promise<void> ended;
     std::promise<void> released;
     size_t next = 0;
-    const auto answer = [&](const std::string &call) -> absl::StatusOr<object_list> {
+    const auto respond = [&](const std::string &call) -> absl::StatusOr<object_list> {
         events.push_back(call);
         if (next == row.script.size()) {
             ended.set_value();
@@ -76,9 +76,9 @@
         events.push_back(event + " " + std::to_string(number));
     };
     object_api api;
-    api.list = [&](const std::string &) { return answer("list"); };
+    api.list = [&](const std::string &) { return respond("list"); };
     api.watch = [&](const std::string &, uint64_t revision, milliseconds) {
-        return answer("watch " + std::to_string(revision));
+        return respond("watch " + std::to_string(revision));
     };
     relay_watch watch(api,
                       {[&](const object_list &list) { note("listed", list.revision); },
--- a/src/persimmonrail/sync/versioned_objects.cpp
+++ b/src/persimmonrail/sync/versioned_objects.cpp
@@ -1,6 +1,6 @@
 #include "persimmonrail/sync/versioned_objects.h"
 
-#include "persimmonrail/sync/object_store.h"
+#include "persimmonrail/sync/object_replica.h"
 
 namespace persimmonrail {
 
--- a/src/persimmonrail/sync/view_builder.cpp
+++ b/src/persimmonrail/sync/view_builder.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-view_builder::view_builder(object_store::hooks hooks)
+view_builder::view_builder(object_replica::hooks hooks)
     : m_hooks(std::move(hooks))
 { }
 
--- a/src/persimmonrail/sync/view_builder.h
+++ b/src/persimmonrail/sync/view_builder.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "persimmonrail/sync/object_store.h"
+#include "persimmonrail/sync/object_replica.h"
 
 #include <memory>
 #include <set>
@@ -21,7 +21,7 @@
 class view_builder
 {
 public:
-    explicit view_builder(object_store::hooks hooks);
+    explicit view_builder(object_replica::hooks hooks);
 
     void noteChanged(const std::string &key) { m_changed.insert(key); }
     // `find` returns the newest version of an object, tombstones included.
@@ -45,7 +45,7 @@
     static update contentOf(const fleet_view &view, const std::string &key);
     static void apply(fleet_view &view, std::vector<update> updates);
 
-    object_store::hooks m_hooks;
+    object_replica::hooks m_hooks;
     std::set<std::string> m_changed;
     std::shared_ptr<fleet_view> m_current;
     // The view before the current one, and the keys in which they differ.
--- a/src/persimmonrail/telemetry/decision_log.cpp
+++ b/src/persimmonrail/telemetry/decision_log.cpp
@@ -2,7 +2,7 @@
 
 #include "persimmonrail/base/key_hash.h"
 #include "persimmonrail/base/text.h"
-#include "persimmonrail/telemetry/line_budget.h"
+#include "persimmonrail/telemetry/log_rate_limiter.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -59,14 +59,14 @@
 {
 public:
     explicit state(uint64_t linesPerSecond)
-        : budget(linesPerSecond)
+        : limiter(linesPerSecond)
     { }
 
     // A hierarchy of its own, so that several logs in one process do not share their levels.
     log4cxx::spi::LoggerRepositoryPtr repository = log4cxx::Hierarchy::create();
     log4cxx::LoggerPtr logger;
     std::mutex mutex;
-    line_budget budget;
+    log_rate_limiter limiter;
 };
 
 decision_log::decision_log(const log_options &options)
@@ -112,7 +112,7 @@
     uint64_t dropped = 0;
     if (level == log_level::Debug || level == log_level::Info) {
         const std::lock_guard lock(m_state->mutex);
-        if (!m_state->budget.take(std::chrono::steady_clock::now(), dropped)) {
+        if (!m_state->limiter.take(std::chrono::steady_clock::now(), dropped)) {
             return;
         }
     }
@@ -126,7 +126,7 @@
 uint64_t decision_log::droppedLines() const
 {
     const std::lock_guard lock(m_state->mutex);
-    return m_state->budget.droppedInAll();
+    return m_state->limiter.droppedInAll();
 }
 
 bool decision_log::isEnabled(log_level level) const
--- a/src/persimmonrail/telemetry/line_budget.cpp
+++ b/src/persimmonrail/telemetry/log_rate_limiter.cpp
@@ -1,8 +1,8 @@
-#include "persimmonrail/telemetry/line_budget.h"
+#include "persimmonrail/telemetry/log_rate_limiter.h"
 
 namespace persimmonrail {
 
-bool line_budget::take(steady_time now, uint64_t &dropped)
+bool log_rate_limiter::take(steady_time now, uint64_t &dropped)
 {
     dropped = 0;
     if (m_linesPerSecond == 0) {
--- a/src/persimmonrail/telemetry/line_budget.h
+++ b/src/persimmonrail/telemetry/log_rate_limiter.h
@@ -8,11 +8,11 @@
 
 // Limits log lines to a number per second, so that an overload is not made worse by its own log.
 // Not thread safe.
-class line_budget
+class log_rate_limiter
 {
 public:
     // 0 sets no limit.
-    explicit line_budget(uint64_t linesPerSecond)
+    explicit log_rate_limiter(uint64_t linesPerSecond)
         : m_linesPerSecond(linesPerSecond)
     { }
 
--- a/src/persimmonrail/telemetry/tests/line_budget_test.cpp
+++ b/src/persimmonrail/telemetry/tests/log_rate_limiter_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/telemetry/line_budget.h"
+#include "persimmonrail/telemetry/log_rate_limiter.h"
 
 #include <catch2/catch.hpp>
 
@@ -8,20 +8,20 @@
 TEST_CASE("lines beyond the budget of a second are dropped and counted", "[telemetry]")
 {
     const steady_time start = steady_time(100s);
-    line_budget budget(3);
+    log_rate_limiter limiter(3);
     uint64_t dropped = 0;
     int written = 0;
     for (int i = 0; i < 10; ++i) {
-        written += budget.take(start, dropped) ? 1 : 0;
+        written += limiter.take(start, dropped) ? 1 : 0;
         CHECK(dropped == 0);
     }
     CHECK(written == 3);
-    CHECK(budget.take(start + 1s, dropped));
+    CHECK(limiter.take(start + 1s, dropped));
     CHECK(dropped == 7);
-    CHECK(budget.take(start + 1s, dropped));
+    CHECK(limiter.take(start + 1s, dropped));
     CHECK(dropped == 0);
-    CHECK(budget.droppedInAll() == 7);
-    line_budget unlimited(0);
+    CHECK(limiter.droppedInAll() == 7);
+    log_rate_limiter unlimited(0);
     for (int i = 0; i < 1000; ++i) {
         CHECK(unlimited.take(start, dropped));
     }
--- a/src/persimmonrail/upstream/tests/answer_input_test.cpp
+++ b/src/persimmonrail/upstream/tests/response_input_test.cpp
@@ -1,5 +1,5 @@
 #include "persimmonrail/objects/http_object_api.h"
-#include "persimmonrail/upstream/upstream_guard.h"
+#include "persimmonrail/upstream/upstream_client.h"
 #include "standins/input_mutator.h"
 #include "standins/scripted_server.h"
 
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr milliseconds generous{60'000};
-constexpr uint64_t answers = 200;
+constexpr uint64_t responses = 200;
 
-class counting_sink : public answer_sink
+class counting_sink : public response_sink
 {
 public:
     bool begin(const Poco::Net::HTTPResponse &, const body_framing &, std::string_view,
@@ -25,7 +25,7 @@
 };
 
 // Answers each request with the next mutation of a message and closes the connection.
-scripted_server::script faultyAnswers(const std::vector<std::string> &messages)
+scripted_server::script faultyResponses(const std::vector<std::string> &messages)
 {
     return [messages](Poco::Net::StreamSocket &socket, int index) {
         if (!readHeadText(socket).empty()) {
@@ -40,29 +40,29 @@
 // as a refusal (P4).
 TEST_CASE("faulty answers of the upstream give an outcome", "[upstream][input]")
 {
-    const scripted_server server(faultyAnswers(
+    const scripted_server server(faultyResponses(
         {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
          "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"}));
-    upstream_guard guard{{}};
+    upstream_client upstreamClient{{}};
     const steady_time start = std::chrono::steady_clock::now();
-    REQUIRE(guard
+    REQUIRE(upstreamClient
                 .announce({"standin", "standin-1", server.address(), 10, "b", false, true},
                           start + generous)
                 .ok());
-    for (uint64_t i = 0; i < answers; ++i) {
+    for (uint64_t i = 0; i < responses; ++i) {
         CAPTURE(i);
         const steady_time now = std::chrono::steady_clock::now();
-        hand_over request;
+        dispatch_request request;
         request.message.setMethod("GET");
         request.message.setURI("/standin/x");
         request.requestId = "r";
         request.deadline = now + generous;
         counting_sink sink;
-        const hand_over_result result = guard.handOver(request, sink, now);
+        const dispatch_result result = upstreamClient.dispatch(request, sink, now);
         CHECK(result.outcome != request_outcome::NotRun);
         CHECK_FALSE(result.reason.empty());
-        guard.probe(std::chrono::steady_clock::now());
+        upstreamClient.probe(std::chrono::steady_clock::now());
     }
 }
 
@@ -73,13 +73,13 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
             + body;
     };
-    const scripted_server server(faultyAnswers(
+    const scripted_server server(faultyResponses(
         {message(R"({"key":"k","version":3,"value":"v"})"),
          message(R"({"revision":9,"objects":[{"key":"k","version":3,"value":"v"}]})"),
          message(R"({"revision":9,"events":[{"key":"k","version":3,"deleted":true}]})"),
          message(R"({"version":4})")}));
     const auto api = makeHttpObjectApi(server.address(), generous);
-    for (uint64_t i = 0; i < answers / 4; ++i) {
+    for (uint64_t i = 0; i < responses / 4; ++i) {
         CAPTURE(i);
         const auto object = api.get("k");
         CHECK((!object.ok() || object->key == "k"));
--- a/src/persimmonrail/upstream/tests/upstream_guard_test.cpp
+++ b/src/persimmonrail/upstream/tests/upstream_client_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/upstream/upstream_guard.h"
+#include "persimmonrail/upstream/upstream_client.h"
 
 #include "persimmonrail/base/header_names.h"
 #include "standins/scripted_server.h"
@@ -21,13 +21,13 @@
     return std::chrono::steady_clock::now();
 }
 
-class recording_sink : public answer_sink
+class recording_sink : public response_sink
 {
 public:
-    bool begin(const Poco::Net::HTTPResponse &answer, const body_framing &, std::string_view first,
-               bool) override
+    bool begin(const Poco::Net::HTTPResponse &response, const body_framing &,
+               std::string_view first, bool) override
     {
-        head = answer;
+        head = response;
         body = first;
         return true;
     }
@@ -91,9 +91,10 @@
     bool m_isRead = false;
 };
 
-hand_over requestFor(const std::string &method, const std::string &uri, const std::string &id)
+dispatch_request requestFor(const std::string &method, const std::string &uri,
+                            const std::string &id)
 {
-    hand_over request;
+    dispatch_request request;
     request.message.setMethod(method);
     request.message.setURI(uri);
     request.requestId = id;
@@ -116,20 +117,21 @@
         auto started = upstream_standin::start({});
         REQUIRE(started.ok());
         standin = *std::move(started);
-        REQUIRE(guard.announce(standin->announcement(), currentTime()).ok());
+        REQUIRE(upstreamClient.announce(standin->announcement(), currentTime()).ok());
     }
     void grant(uint64_t term)
     {
-        REQUIRE(guard.pushGrants({{"standin/a", term, {0, 10}}}, generous, currentTime()).ok());
+        REQUIRE(upstreamClient.pushGrants({{"standin/a", term, {0, 10}}}, generous, currentTime())
+                    .ok());
     }
-    hand_over_result run(const hand_over &request)
+    dispatch_result run(const dispatch_request &request)
     {
         sink = recording_sink();
-        return guard.handOver(request, sink, currentTime());
+        return upstreamClient.dispatch(request, sink, currentTime());
     }
 
     std::unique_ptr<upstream_standin> standin;
-    upstream_guard guard{{}};
+    upstream_client upstreamClient{{}};
     recording_sink sink;
 };
 
@@ -147,35 +149,35 @@
     callbacks.restarted = [&](const upstream_announcement &announcement) {
         seen.push_back("restarted " + announcement.bootId);
     };
-    upstream_guard guard({}, callbacks);
+    upstream_client upstreamClient({}, callbacks);
     const steady_time start;
     upstream_announcement announcement = announcementOf("127.0.0.1:1");
-    CHECK(guard.status(start).state == upstream_state::Down);
-    CHECK(guard.announce(announcement, start).ok());
-    CHECK(guard.isUp(start + 2999ms));
-    CHECK_FALSE(guard.isUp(start + 3000ms));
-    guard.expire(start + 2999ms);
-    guard.expire(start + 3000ms);
-    CHECK(guard.announce(announcement, start + 4s).ok());
+    CHECK(upstreamClient.status(start).state == upstream_state::Down);
+    CHECK(upstreamClient.announce(announcement, start).ok());
+    CHECK(upstreamClient.isUp(start + 2999ms));
+    CHECK_FALSE(upstreamClient.isUp(start + 3000ms));
+    upstreamClient.expire(start + 2999ms);
+    upstreamClient.expire(start + 3000ms);
+    CHECK(upstreamClient.announce(announcement, start + 4s).ok());
     announcement.bootId = "b2";
-    CHECK(guard.announce(announcement, start + 5s).ok());
+    CHECK(upstreamClient.announce(announcement, start + 5s).ok());
     announcement.draining = true;
-    CHECK(guard.announce(announcement, start + 6s).ok());
-    CHECK(guard.announce(announcement, start + 7s).ok());
-    CHECK(guard.status(start + 8s).drainingFor == 2s);
+    CHECK(upstreamClient.announce(announcement, start + 6s).ok());
+    CHECK(upstreamClient.announce(announcement, start + 7s).ok());
+    CHECK(upstreamClient.status(start + 8s).drainingFor == 2s);
     CHECK(seen == std::vector<std::string>{"up", "down", "up", "restarted b2", "draining"});
 
     announcement.instance = "standin-2";
-    CHECK(absl::IsFailedPrecondition(guard.announce(announcement, start + 8s)));
-    CHECK(guard.announce(announcement, start + 11s).ok());
+    CHECK(absl::IsFailedPrecondition(upstreamClient.announce(announcement, start + 8s)));
+    CHECK(upstreamClient.announce(announcement, start + 11s).ok());
 }
 
 // Guards P3 and P4 at the hand-over: what the caller is told follows from what the upstream did.
 TEST_CASE("requests run under the granted term only", "[upstream]")
 {
     guarded_standin fixture;
-    hand_over request = requestFor("POST", "/standin/x", "r1");
-    hand_over_result result = fixture.run(request);
+    dispatch_request request = requestFor("POST", "/standin/x", "r1");
+    dispatch_result result = fixture.run(request);
     CHECK(result.outcome == request_outcome::NotRun);
     CHECK(result.reason == "stale-grant");
 
@@ -204,11 +206,11 @@
                 bytes[i] = static_cast<char>(i * 131 + i / 256);
             }
             text_body body(bytes);
-            hand_over put = requestFor("PUT", "/standin/photo", "put");
+            dispatch_request put = requestFor("PUT", "/standin/photo", "put");
             put.body = &body;
             REQUIRE(fixture.run(put).outcome == request_outcome::Run);
             CHECK(fixture.sink.head.get("X-Checksum") == standinChecksum(bytes));
-            hand_over get = requestFor("GET", "/standin/photo", "get");
+            dispatch_request get = requestFor("GET", "/standin/photo", "get");
             if (chunked) {
                 get.message.set("X-Chunked", "1");
             }
@@ -217,7 +219,7 @@
 
             if (size > 1) {
                 get.message.set("X-Truncate", std::to_string(size - 1));
-                const hand_over_result cut = fixture.run(get);
+                const dispatch_result cut = fixture.run(get);
                 CHECK(cut.outcome == request_outcome::Unknown);
                 CHECK(cut.reason == "truncated-answer");
             }
@@ -233,22 +235,22 @@
     upstream_standin_faults faults;
     faults.shedding = true;
     fixture.standin->setFaults(faults);
-    const hand_over_result shed = fixture.run(requestFor("POST", "/standin/x", "r"));
+    const dispatch_result shed = fixture.run(requestFor("POST", "/standin/x", "r"));
     CHECK(shed.outcome == request_outcome::NotRun);
     CHECK(shed.reason == "shed");
     CHECK(shed.retryAfter == 1s);
     fixture.standin->setFaults({});
 
-    hand_over late = requestFor("POST", "/standin/x", "r");
+    dispatch_request late = requestFor("POST", "/standin/x", "r");
     late.leaseEnd = currentTime;
     CHECK(fixture.run(late).reason == "lease-ending");
     CHECK(fixture.standin->history().empty());
 
     fixture.standin.reset();
-    const hand_over_result refused = fixture.run(requestFor("POST", "/standin/x", "r"));
+    const dispatch_result refused = fixture.run(requestFor("POST", "/standin/x", "r"));
     CHECK(refused.outcome == request_outcome::NotRun);
     CHECK(refused.reason == "upstream-refused-connection");
-    CHECK(fixture.guard.status(currentTime()).refusingConnections);
+    CHECK(fixture.upstreamClient.status(currentTime()).refusingConnections);
 }
 
 // Guards H4: an upstream that does not check grants must not go on under an expired lease, and a
@@ -263,9 +265,9 @@
                 fixture.grant(3);
                 auto announcement = fixture.standin->announcement();
                 announcement.checksGrants = checksGrants;
-                REQUIRE(fixture.guard.announce(announcement, currentTime()).ok());
+                REQUIRE(fixture.upstreamClient.announce(announcement, currentTime()).ok());
                 const bool ends = !checksGrants && !isRenewed;
-                hand_over request = requestFor("PUT", "/standin/x", "r");
+                dispatch_request request = requestFor("PUT", "/standin/x", "r");
                 request.message.set("X-Service-Ms", ends && !bodyStalls ? "60000" : "50");
                 stalling_body body(ends && bodyStalls ? steady_time::max() : currentTime() + 50ms);
                 if (bodyStalls) {
@@ -277,7 +279,7 @@
                     const bool isOver = !isRenewed && ++reads > 3;
                     return isOver ? steady_time() : currentTime() + 30ms;
                 };
-                const hand_over_result result = fixture.run(request);
+                const dispatch_result result = fixture.run(request);
                 if (!ends) {
                     CHECK(result.outcome == request_outcome::Run);
                     continue;
@@ -304,13 +306,14 @@
     draining.draining = true;
     fixture.grant(3);
     const steady_time start = currentTime();
-    REQUIRE(fixture.guard.announce(draining, start).ok());
-    hand_over request = requestFor("POST", "/standin/x", "r");
+    REQUIRE(fixture.upstreamClient.announce(draining, start).ok());
+    dispatch_request request = requestFor("POST", "/standin/x", "r");
     recording_sink sink;
-    CHECK(fixture.guard.handOver(request, sink, start + 2499ms).outcome == request_outcome::Run);
-    CHECK(fixture.guard.handOver(request, sink, start + 2500ms).reason == "draining");
+    CHECK(fixture.upstreamClient.dispatch(request, sink, start + 2499ms).outcome
+          == request_outcome::Run);
+    CHECK(fixture.upstreamClient.dispatch(request, sink, start + 2500ms).reason == "draining");
     request.partition.clear();
-    CHECK(fixture.guard.handOver(request, sink, start).reason == "draining");
+    CHECK(fixture.upstreamClient.dispatch(request, sink, start).reason == "draining");
 }
 
 TEST_CASE("a frozen upstream makes a request unknown at its deadline", "[upstream]")
@@ -320,13 +323,13 @@
     upstream_standin_faults faults;
     faults.frozen = true;
     fixture.standin->setFaults(faults);
-    hand_over request = requestFor("POST", "/standin/x", "r");
+    dispatch_request request = requestFor("POST", "/standin/x", "r");
     request.deadline = currentTime() + 100ms;
-    const hand_over_result result = fixture.run(request);
+    const dispatch_result result = fixture.run(request);
     CHECK(result.outcome == request_outcome::Unknown);
     CHECK(result.reason == "deadline-exceeded");
-    fixture.guard.probe(currentTime());
-    CHECK(fixture.guard.status(currentTime()).healthHint == false);
+    fixture.upstreamClient.probe(currentTime());
+    CHECK(fixture.upstreamClient.status(currentTime()).healthHint == false);
     fixture.standin->setFaults({});
 }
 
@@ -343,12 +346,12 @@
     });
     Poco::Net::StreamSocket socket{Poco::Net::SocketAddress(callerSide.address())};
     http_stream caller(socket);
-    hand_over request = requestFor("POST", "/standin/x", "r");
+    dispatch_request request = requestFor("POST", "/standin/x", "r");
     request.message.set("X-Service-Ms", "60000");
     request.caller = &caller;
-    const hand_over_result result = fixture.run(request);
+    const dispatch_result result = fixture.run(request);
     CHECK(started);
-    CHECK(result.callerGone);
+    CHECK(result.callerDisconnected);
     CHECK(result.outcome == request_outcome::Unknown);
     CHECK(fixture.standin->waitFor([](const auto &runs) { return runs[0].state == "cancelled"; },
                                    generous));
@@ -363,8 +366,8 @@
     faults.healthy = false;
     faults.load = 9.5;
     fixture.standin->setFaults(faults);
-    fixture.guard.probe(currentTime());
-    const upstream_status status = fixture.guard.status(currentTime());
+    fixture.upstreamClient.probe(currentTime());
+    const upstream_status status = fixture.upstreamClient.status(currentTime());
     CHECK(status.healthHint == false);
     CHECK(status.loadHint == 9.5);
     CHECK(status.state == upstream_state::Up);
@@ -373,7 +376,7 @@
 
 TEST_CASE("the stand-in announces itself to the admin port", "[upstream]")
 {
-    upstream_guard guard({});
+    upstream_client upstreamClient({});
     std::mutex mutex;
     std::condition_variable changed;
     auto admin = http_server::listen({}, [&](server_exchange &exchange) {
@@ -381,8 +384,9 @@
         exchange.readAll(body, 4096, currentTime() + generous);
         const auto announcement = parseAnnouncement(body);
         const std::lock_guard lock(mutex);
-        const bool taken = announcement.ok() && guard.announce(*announcement, currentTime()).ok();
-        exchange.answer(taken ? 200 : 400, "", "text/plain");
+        const bool taken =
+            announcement.ok() && upstreamClient.announce(*announcement, currentTime()).ok();
+        exchange.respond(taken ? 200 : 400, "", "text/plain");
         changed.notify_all();
     });
     REQUIRE(admin.ok());
@@ -392,8 +396,8 @@
     const auto standin = upstream_standin::start(options);
     const auto waitForState = [&](upstream_state state) {
         std::unique_lock lock(mutex);
-        return changed.wait_for(lock, generous,
-                                [&] { return guard.status(currentTime()).state == state; });
+        return changed.wait_for(
+            lock, generous, [&] { return upstreamClient.status(currentTime()).state == state; });
     };
     CHECK(waitForState(upstream_state::Up));
     upstream_standin_faults faults;
--- a/src/persimmonrail/upstream/upstream_guard.cpp
+++ b/src/persimmonrail/upstream/upstream_client.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/upstream/upstream_guard.h"
+#include "persimmonrail/upstream/upstream_client.h"
 
 #include "persimmonrail/base/header_names.h"
 
@@ -49,30 +49,30 @@
 } // namespace
 
 // Records progress on a request and passes the answer on.
-class upstream_guard::progress_sink : public answer_sink
+class upstream_client::progress_sink : public response_sink
 {
 public:
-    progress_sink(upstream_guard &guard, answer_sink &next, steady_time now)
-        : m_guard(guard)
+    progress_sink(upstream_client &upstreamClient, response_sink &next, steady_time now)
+        : m_upstreamClient(upstreamClient)
         , m_next(next)
     {
-        const std::lock_guard lock(m_guard.m_mutex);
-        m_id = m_guard.m_nextRunning++;
-        m_guard.m_running[m_id] = {now, now};
+        const std::lock_guard lock(m_upstreamClient.m_mutex);
+        m_id = m_upstreamClient.m_nextRunning++;
+        m_upstreamClient.m_running[m_id] = {now, now};
     }
     progress_sink(const progress_sink &) = delete;
     progress_sink &operator=(const progress_sink &) = delete;
     ~progress_sink() override
     {
-        const std::lock_guard lock(m_guard.m_mutex);
-        m_guard.m_running.erase(m_id);
+        const std::lock_guard lock(m_upstreamClient.m_mutex);
+        m_upstreamClient.m_running.erase(m_id);
     }
 
     bool begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
-               std::string_view first, bool whole) override
+               std::string_view first, bool isComplete) override
     {
         progress();
-        return m_next.begin(head, framing, first, whole);
+        return m_next.begin(head, framing, first, isComplete);
     }
     bool write(std::string_view piece) override
     {
@@ -85,12 +85,12 @@
     void progress()
     {
         const steady_time now = std::chrono::steady_clock::now();
-        const std::lock_guard lock(m_guard.m_mutex);
-        m_guard.m_running[m_id].lastProgress = now;
+        const std::lock_guard lock(m_upstreamClient.m_mutex);
+        m_upstreamClient.m_running[m_id].lastProgress = now;
     }
 
-    upstream_guard &m_guard;
-    answer_sink &m_next;
+    upstream_client &m_upstreamClient;
+    response_sink &m_next;
     uint64_t m_id = 0;
 };
 
@@ -107,13 +107,14 @@
     return "down";
 }
 
-upstream_guard::upstream_guard(const upstream_guard_options &options, upstream_callbacks callbacks)
+upstream_client::upstream_client(const upstream_client_options &options,
+                                 upstream_callbacks callbacks)
     : m_options(options)
     , m_callbacks(std::move(callbacks))
     , m_client(std::make_shared<connection_pool>(connection_pool_options{maxIdleConnections}))
 { }
 
-upstream_state upstream_guard::stateAt(steady_time now) const
+upstream_state upstream_client::stateAt(steady_time now) const
 {
     if (!m_announcement || now >= m_validUntil) {
         return upstream_state::Down;
@@ -121,7 +122,7 @@
     return m_announcement->draining ? upstream_state::Draining : upstream_state::Up;
 }
 
-absl::Status upstream_guard::announce(const upstream_announcement &announcement, steady_time now)
+absl::Status upstream_client::announce(const upstream_announcement &announcement, steady_time now)
 {
     bool restarted = false;
     {
@@ -150,12 +151,12 @@
     return absl::OkStatus();
 }
 
-void upstream_guard::expire(steady_time now)
+void upstream_client::expire(steady_time now)
 {
     publish(now);
 }
 
-void upstream_guard::publish(steady_time now)
+void upstream_client::publish(steady_time now)
 {
     upstream_announcement announcement;
     upstream_state state = upstream_state::Down;
@@ -173,7 +174,7 @@
     }
 }
 
-upstream_status upstream_guard::status(steady_time now) const
+upstream_status upstream_client::status(steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
     upstream_status result;
@@ -200,50 +201,50 @@
     return result;
 }
 
-bool upstream_guard::isUp(steady_time now) const
+bool upstream_client::isUp(steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
     return stateAt(now) == upstream_state::Up;
 }
 
-std::optional<upstream_announcement> upstream_guard::validAnnouncement(steady_time now) const
+std::optional<upstream_announcement> upstream_client::validAnnouncement(steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
     return stateAt(now) == upstream_state::Down ? std::nullopt : m_announcement;
 }
 
-std::optional<std::string> upstream_guard::validAddress(steady_time now) const
+std::optional<std::string> upstream_client::validAddress(steady_time now) const
 {
     const auto announcement = validAnnouncement(now);
     return announcement ? std::optional(announcement->address) : std::nullopt;
 }
 
-bool upstream_guard::refusesWhileDraining(const hand_over &request, steady_time now) const
+bool upstream_client::refusesWhileDraining(const dispatch_request &request, steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
     return stateAt(now) == upstream_state::Draining
         && (request.partition.empty() || now - m_drainingSince >= m_options.drainGrace);
 }
 
-absl::Status upstream_guard::pushGrants(const std::vector<upstream_grant> &grants,
-                                        milliseconds validFor, steady_time now)
+absl::Status upstream_client::pushGrants(const std::vector<upstream_grant> &grants,
+                                         milliseconds validFor, steady_time now)
 {
     const auto address = validAddress(now);
     if (!address) {
         return absl::UnavailableError("the upstream has not announced itself");
     }
-    const auto answer =
+    const auto response =
         simpleRequest(m_client, *address, "PUT", "/v1/grants",
                       encodeGrants(grants, validFor.count()), now + m_options.controlTimeout);
-    if (!answer.ok()) {
-        return answer.status();
+    if (!response.ok()) {
+        return response.status();
     }
-    return answer->status / 100 == 2
+    return response->status / 100 == 2
         ? absl::OkStatus()
-        : absl::FailedPreconditionError(absl::StrCat("status ", answer->status));
+        : absl::FailedPreconditionError(absl::StrCat("status ", response->status));
 }
 
-void upstream_guard::probe(steady_time now)
+void upstream_client::probe(steady_time now)
 {
     const auto address = validAddress(now);
     if (!address) {
@@ -257,7 +258,7 @@
     m_loadHint = load.ok() && load->status == 200 ? parseLoad(load->body) : std::nullopt;
 }
 
-void upstream_guard::cancel(const std::string &requestId, steady_time now)
+void upstream_client::cancel(const std::string &requestId, steady_time now)
 {
     if (const auto address = validAddress(now)) {
         // The answer makes no difference: the connection of the request is closed already.
@@ -267,7 +268,7 @@
     }
 }
 
-bool upstream_guard::answersOnNewConnection(const std::string &address) const
+bool upstream_client::respondsOnNewConnection(const std::string &address) const
 {
     http_client fresh(std::make_shared<connection_pool>());
     return simpleRequest(fresh, address, "GET", "/v1/health", "",
@@ -275,10 +276,10 @@
         .ok();
 }
 
-hand_over_result upstream_guard::handOver(const hand_over &request, answer_sink &sink,
+dispatch_result upstream_client::dispatch(const dispatch_request &request, response_sink &sink,
                                           steady_time now)
 {
-    hand_over_result result;
+    dispatch_result result;
     const auto announcement = validAnnouncement(now);
     if (!announcement) {
         result.reason = "upstream-down";
@@ -309,7 +310,7 @@
     exchange.deadline = request.deadline;
     if (request.leaseEnd) {
         exchange.sendBefore = [this, &request] {
-            return request.leaseEnd() - m_options.handOverGuard;
+            return request.leaseEnd() - m_options.dispatchMargin;
         };
         if (!announcement->checksGrants) {
             exchange.abandonAt = request.leaseEnd;
@@ -321,23 +322,24 @@
             std::chrono::duration<double>(left) * m_options.silentShare);
     }
     exchange.probe = [this, &announcement] {
-        return answersOnNewConnection(announcement->address);
+        return respondsOnNewConnection(announcement->address);
     };
-    exchange.wanted = [](const Poco::Net::HTTPResponse &head) { return !isRefusal(head); };
+    exchange.acceptsResponse = [](const Poco::Net::HTTPResponse &head) { return !isRefusal(head); };
 
     progress_sink progress(*this, sink, now);
     return evaluate(m_client.exchange(exchange, progress), request);
 }
 
-hand_over_result upstream_guard::evaluate(const exchange_result &exchange, const hand_over &request)
+dispatch_result upstream_client::evaluate(const exchange_result &exchange,
+                                          const dispatch_request &request)
 {
-    hand_over_result result;
-    result.answerStarted = exchange.answerStarted;
-    result.callerGone = exchange.sinkGone;
+    dispatch_result result;
+    result.responseStarted = exchange.responseStarted;
+    result.callerDisconnected = exchange.sinkGone;
     result.reason = toString(exchange.state);
     result.outcome = exchange.anySent ? request_outcome::Unknown : request_outcome::NotRun;
     switch (exchange.state) {
-    case exchange_state::Whole:
+    case exchange_state::Complete:
         result.outcome = request_outcome::Run;
         result.status = exchange.head.getStatus();
         result.reason = "answered";
@@ -357,8 +359,8 @@
                 exchange.deadlinePassed ? "deadline-exceeded" : "upstream-refused-connection";
         }
         break;
-    case exchange_state::CallerGone:
-        result.callerGone = true;
+    case exchange_state::CallerDisconnected:
+        result.callerDisconnected = true;
         break;
     default:
         break;
@@ -370,7 +372,8 @@
         } else if (exchange.anySent) {
             m_refusingConnections = false;
         }
-        if (exchange.state == exchange_state::Whole || exchange.state == exchange_state::Declined) {
+        if (exchange.state == exchange_state::Complete
+            || exchange.state == exchange_state::Declined) {
             m_lastProgress = std::chrono::steady_clock::now();
         }
     }
--- a/src/persimmonrail/upstream/upstream_guard.h
+++ b/src/persimmonrail/upstream/upstream_client.h
@@ -39,7 +39,7 @@
 };
 
 // One request to be handed to the upstream.
-struct hand_over
+struct dispatch_request
 {
     Poco::Net::HTTPRequest message{Poco::Net::HTTPMessage::HTTP_1_1};
     body_source *body = nullptr;
@@ -58,27 +58,27 @@
     http_stream *caller = nullptr;
 };
 
-struct hand_over_result
+struct dispatch_result
 {
     request_outcome outcome = request_outcome::NotRun;
     // Fixed word, such as "refused-connection", "truncated-answer" or "shed".
     std::string reason;
     // Whether the sink received the head of the answer, so that no other answer can be sent.
-    bool answerStarted = false;
+    bool responseStarted = false;
     // Whether the requester disconnected.
-    bool callerGone = false;
+    bool callerDisconnected = false;
     // Status of the upstream's answer, 0 if there is none.
     int status = 0;
     // From the upstream's refusal, zero if it gave none.
     milliseconds retryAfter{0};
 };
 
-struct upstream_guard_options
+struct upstream_client_options
 {
     // An announcement counts for this time.
     milliseconds announcementValidity{3000};
     // No request is handed over within this time before the end of its lease.
-    milliseconds handOverGuard{20};
+    milliseconds dispatchMargin{20};
     // A draining upstream still gets requests for the partitions it holds during this time, so that
     // they are served until they have moved. Requests of other services are refused at once.
     milliseconds drainGrace{2500};
@@ -100,13 +100,13 @@
 
 // Guards the upstream beside this daemon: what it announces, what it was granted and every request
 // handed to it. Thread safe.
-class upstream_guard
+class upstream_client
 {
 public:
-    explicit upstream_guard(const upstream_guard_options &options,
-                            upstream_callbacks callbacks = {});
-    upstream_guard(const upstream_guard &) = delete;
-    upstream_guard &operator=(const upstream_guard &) = delete;
+    explicit upstream_client(const upstream_client_options &options,
+                             upstream_callbacks callbacks = {});
+    upstream_client(const upstream_client &) = delete;
+    upstream_client &operator=(const upstream_client &) = delete;
 
     // Takes an announcement. Errors: FailedPrecondition if it names another service or instance
     // than the valid one in force.
@@ -125,7 +125,7 @@
 
     // Hands one request over and streams the answer to the sink. Blocks until the answer is whole,
     // the request has failed or its deadline has passed.
-    hand_over_result handOver(const hand_over &request, answer_sink &sink, steady_time now);
+    dispatch_result dispatch(const dispatch_request &request, response_sink &sink, steady_time now);
     // Asks the upstream to stop a request. Best effort; blocks for at most the control timeout.
     void cancel(const std::string &requestId, steady_time now);
 
@@ -142,11 +142,11 @@
     void publish(steady_time now);
     std::optional<upstream_announcement> validAnnouncement(steady_time now) const;
     std::optional<std::string> validAddress(steady_time now) const;
-    bool refusesWhileDraining(const hand_over &request, steady_time now) const;
-    hand_over_result evaluate(const exchange_result &exchange, const hand_over &request);
-    bool answersOnNewConnection(const std::string &address) const;
+    bool refusesWhileDraining(const dispatch_request &request, steady_time now) const;
+    dispatch_result evaluate(const exchange_result &exchange, const dispatch_request &request);
+    bool respondsOnNewConnection(const std::string &address) const;
 
-    const upstream_guard_options m_options;
+    const upstream_client_options m_options;
     const upstream_callbacks m_callbacks;
     http_client m_client;
     mutable std::mutex m_mutex;
--- a/tests/measure/capacity_measure_main.cpp
+++ b/tests/measure/capacity_measure_main.cpp
@@ -8,7 +8,7 @@
 #include "persimmonrail/ownership/ownership_engine.h"
 #include "persimmonrail/peer/control_channel.h"
 #include "persimmonrail/requests/at_most_once_table.h"
-#include "persimmonrail/sync/object_store.h"
+#include "persimmonrail/sync/object_replica.h"
 
 #include <absl/strings/str_cat.h>
 #include <malloc.h>
@@ -110,7 +110,7 @@
     }
     const size_t heapBefore = heapBytes();
     const double cpuBefore = cpuSeconds();
-    object_store store({nullptr, nullptr});
+    object_replica store({nullptr, nullptr});
     const steady_time now{};
     store.applyList(list, now);
     store.markReady();
@@ -142,7 +142,7 @@
     pull.set_after_revision(revision);
     const double pullBefore = cpuSeconds();
     for (int i = 0; i < pulls; ++i) {
-        store.answerPull(pull, instanceAt(i % instances));
+        store.respondToPull(pull, instanceAt(i % instances));
     }
     const double pullCpu = (cpuSeconds() - pullBefore) / pulls;
 
@@ -169,7 +169,7 @@
 {
     const auto list = fleetState(instances);
     const steady_time now{std::chrono::hours(1)};
-    object_store store({nullptr, nullptr});
+    object_replica store({nullptr, nullptr});
     store.applyList(list, now);
     serving_table table;
     ownership_hooks hooks;
@@ -385,10 +385,10 @@
     }
     const double cpuBefore = cpuSeconds();
     for (int i = 0; i < count; ++i) {
-        std::promise<void> answered;
+        std::promise<void> replied;
         client->send(server->address(), request, milliseconds(5000),
-                     [&](const absl::StatusOr<wire::Reply> &) { answered.set_value(); });
-        answered.get_future().wait();
+                     [&](const absl::StatusOr<wire::Reply> &) { replied.set_value(); });
+        replied.get_future().wait();
     }
     const double cpu = (cpuSeconds() - cpuBefore) / count;
     std::cout << absl::StrCat("{\"measurement\":\"message\",\"count\":", count,
@@ -412,11 +412,11 @@
     wire::Request request;
     request.mutable_ping();
     for (int i = 0; i < peers; ++i) {
-        std::promise<void> answered;
+        std::promise<void> replied;
         client->send(absl::StrCat("127.1.", i / 250, ".", i % 250 + 1, port), request,
                      milliseconds(5000),
-                     [&](const absl::StatusOr<wire::Reply> &) { answered.set_value(); });
-        answered.get_future().wait();
+                     [&](const absl::StatusOr<wire::Reply> &) { replied.set_value(); });
+        replied.get_future().wait();
     }
     std::cout << absl::StrCat("{\"measurement\":\"connections\",\"peers\":", peers,
                               ",\"resident_bytes_both_ends\":", residentBytes() - before, "}\n");
@@ -429,15 +429,15 @@
     http_server_options options;
     options.maxConnections = count + 1;
     const auto server = *http_server::listen(
-        options, [](server_exchange &exchange) { exchange.answer(200, "ok", "text/plain"); });
+        options, [](server_exchange &exchange) { exchange.respond(200, "ok", "text/plain"); });
     std::vector<Poco::Net::StreamSocket> callers;
     const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
     const size_t before = residentBytes();
     for (int i = 0; i < count; ++i) {
         callers.emplace_back(Poco::Net::SocketAddress(server->address()));
         callers.back().sendBytes(request.data(), static_cast<int>(request.size()));
-        std::array<char, 512> answer{};
-        callers.back().receiveBytes(answer.data(), static_cast<int>(answer.size()));
+        std::array<char, 512> response{};
+        callers.back().receiveBytes(response.data(), static_cast<int>(response.size()));
     }
     std::cout << absl::StrCat("{\"measurement\":\"idle_connections\",\"count\":", count,
                               ",\"resident_bytes\":", residentBytes() - before, "}\n");
--- a/tests/measure/policy_simulation.cpp
+++ b/tests/measure/policy_simulation.cpp
@@ -26,7 +26,7 @@
 {
     size_t rank = 0;
     double arrived = 0;
-    double handedAt = 0;
+    double dispatchedAt = 0;
     double service = 0;
     bool isQuiet = false;
     size_t instance = 0;
@@ -229,7 +229,7 @@
                 m_requests.erase(number);
                 continue;
             }
-            request.handedAt = m_now;
+            request.dispatchedAt = m_now;
             if (instance.running < capacity()) {
                 startInUpstream(instance, number);
             } else if (current().treatment == excess::Shed) {
@@ -267,7 +267,7 @@
         instance.running -= wasRun ? 1 : 0;
         startQueued(instance);
         const auto latency = std::chrono::duration_cast<std::chrono::nanoseconds>(
-            std::chrono::duration<double>(m_now - request.handedAt));
+            std::chrono::duration<double>(m_now - request.dispatchedAt));
         instance.policy->finish(request.policyId,
                                 wasRun ? request_outcome::Run : request_outcome::NotRun,
                                 wasRun ? "answered" : "shed", latency, toTime(m_now));
--- a/tests/process/failover_test.cpp
+++ b/tests/process/failover_test.cpp
@@ -142,7 +142,7 @@
 }
 
 // Writes of the failover take effect although their answers are lost.
-void loseOwnerWithLostAnswers(scenario_state &state)
+void loseOwnerWithLostResponses(scenario_state &state)
 {
     state.all.control("drop-answers?count=6");
     loseOwner(state);
@@ -181,7 +181,7 @@
     {"owner lost while the platform is down", loseOwnerInOutage, endOutage},
     {"owner and a witness lost while the platform is down", loseOwnerAndWitness, nothing},
     {"availability zone lost", loseZone, nothing},
-    {"owner lost and answers of writes lost", loseOwnerWithLostAnswers, endOutage},
+    {"owner lost and answers of writes lost", loseOwnerWithLostResponses, endOutage},
     {"daemon restarted while the platform is down", restartOwnerDaemonInOutage, awaitReadyInOutage},
     {"platform down, then slow", takePlatformDown, nothing},
 };
--- a/tests/standins/json_server.cpp
+++ b/tests/standins/json_server.cpp
@@ -47,16 +47,16 @@
 
     void handleRequest(HTTPServerRequest &request, HTTPServerResponse &response) override
     {
-        const auto answer = m_service(readCall(request, m_maxBodyBytes));
-        if (!answer) {
+        const auto result = m_service(readCall(request, m_maxBodyBytes));
+        if (!result) {
             // Without an answer the server closes the connection.
             response.setKeepAlive(false);
             return;
         }
         std::ostringstream body;
-        answer->body->stringify(body);
+        result->body->stringify(body);
         const std::string text = body.str();
-        response.setStatus(static_cast<HTTPServerResponse::HTTPStatus>(answer->status));
+        response.setStatus(static_cast<HTTPServerResponse::HTTPStatus>(result->status));
         response.setContentType("application/json");
         response.sendBuffer(text.data(), text.size());
     }
--- a/tests/standins/json_server.h
+++ b/tests/standins/json_server.h
@@ -28,14 +28,14 @@
     std::optional<uint64_t> number(const std::string &name) const;
 };
 
-struct json_answer
+struct json_response
 {
     int status = 200;
     Poco::JSON::Object::Ptr body = new Poco::JSON::Object;
 };
 
 // Returns the answer, or nullopt to close the connection without one.
-using json_service = std::function<std::optional<json_answer>(const json_call &)>;
+using json_service = std::function<std::optional<json_response>(const json_call &)>;
 
 // HTTP server with JSON answers and keep-alive; each connection takes a thread. `service` is called
 // from several threads.
--- a/tests/standins/platform_standin.cpp
+++ b/tests/standins/platform_standin.cpp
@@ -27,9 +27,9 @@
 constexpr char watchPath[] = "/v1/watch";
 constexpr char controlPath[] = "/control/";
 
-json_answer failure(int status, const std::string &message)
+json_response failure(int status, const std::string &message)
 {
-    json_answer result{status};
+    json_response result{status};
     result.body->set("error", message);
     return result;
 }
@@ -63,11 +63,11 @@
     return array;
 }
 
-json_answer writeAnswer(const object_store::write_result &result)
+json_response writeResponse(const object_store::write_result &result)
 {
-    json_answer reply{result.isApplied ? 200 : 409};
-    reply.body->set("version", result.version);
-    return reply;
+    json_response response{result.isApplied ? 200 : 409};
+    response.body->set("version", result.version);
+    return response;
 }
 
 } // namespace
@@ -80,7 +80,7 @@
     {
         bool isOutage = false;
         milliseconds delay{0};
-        int dropAnswers = 0;
+        int dropResponses = 0;
         platform_budget budget;
         object_store store = {};
     };
@@ -94,16 +94,16 @@
     void awaitWaitingWatches(uint64_t count);
 
 private:
-    std::optional<json_answer> handle(const json_call &call);
-    json_answer control(const json_call &call);
-    std::optional<json_answer> serve(const json_call &call);
+    std::optional<json_response> handle(const json_call &call);
+    json_response control(const json_call &call);
+    std::optional<json_response> serve(const json_call &call);
     // The functions below are called with the mutex held.
     bool admitRead();
     bool admitWrite();
-    json_answer readObject(const std::string &key) const;
-    std::optional<json_answer> writeObject(const json_call &call, const std::string &key);
-    json_answer listObjects(const std::string &prefix) const;
-    json_answer watch(const json_call &call, std::unique_lock<std::mutex> &lock);
+    json_response readObject(const std::string &key) const;
+    std::optional<json_response> writeObject(const json_call &call, const std::string &key);
+    json_response listObjects(const std::string &prefix) const;
+    json_response watch(const json_call &call, std::unique_lock<std::mutex> &lock);
 
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
@@ -151,7 +151,7 @@
     m_changed.wait(lock, [&] { return m_calls.waitingWatches >= count; });
 }
 
-std::optional<json_answer> platform_standin::implementation::handle(const json_call &call)
+std::optional<json_response> platform_standin::implementation::handle(const json_call &call)
 {
     return call.path.starts_with(controlPath) ? control(call) : serve(call);
 }
@@ -173,7 +173,7 @@
     return isAdmitted;
 }
 
-std::optional<json_answer> platform_standin::implementation::serve(const json_call &call)
+std::optional<json_response> platform_standin::implementation::serve(const json_call &call)
 {
     std::unique_lock lock(m_mutex);
     m_changed.wait_until(lock, steady_clock::now() + m_state.delay,
@@ -201,21 +201,21 @@
     return writeObject(call, key);
 }
 
-json_answer platform_standin::implementation::readObject(const std::string &key) const
+json_response platform_standin::implementation::readObject(const std::string &key) const
 {
     const auto *object = m_state.store.find(key);
     if (object == nullptr) {
         return failure(404, "no such object");
     }
-    json_answer reply;
-    reply.body->set("key", key);
-    reply.body->set("version", object->version);
-    reply.body->set("value", object->value);
-    return reply;
+    json_response response;
+    response.body->set("key", key);
+    response.body->set("version", object->version);
+    response.body->set("value", object->value);
+    return response;
 }
 
-std::optional<json_answer> platform_standin::implementation::writeObject(const json_call &call,
-                                                                         const std::string &key)
+std::optional<json_response> platform_standin::implementation::writeObject(const json_call &call,
+                                                                           const std::string &key)
 {
     const auto version = call.number("version");
     if (!version) {
@@ -233,23 +233,23 @@
     const auto result = call.method == "PUT" ? m_state.store.put(key, *version, call.body)
                                              : m_state.store.remove(key, *version);
     m_changed.notify_all();
-    if (result.isApplied && m_state.dropAnswers > 0) {
-        --m_state.dropAnswers;
+    if (result.isApplied && m_state.dropResponses > 0) {
+        --m_state.dropResponses;
         return std::nullopt;
     }
-    return writeAnswer(result);
+    return writeResponse(result);
 }
 
-json_answer platform_standin::implementation::listObjects(const std::string &prefix) const
+json_response platform_standin::implementation::listObjects(const std::string &prefix) const
 {
-    json_answer reply;
-    reply.body->set("revision", m_state.store.revision());
-    reply.body->set("objects", encode(m_state.store.list(prefix)));
-    return reply;
+    json_response response;
+    response.body->set("revision", m_state.store.revision());
+    response.body->set("objects", encode(m_state.store.list(prefix)));
+    return response;
 }
 
-json_answer platform_standin::implementation::watch(const json_call &call,
-                                                    std::unique_lock<std::mutex> &lock)
+json_response platform_standin::implementation::watch(const json_call &call,
+                                                      std::unique_lock<std::mutex> &lock)
 {
     const auto since = call.number("since");
     const auto wait = call.number("wait_ms");
@@ -273,23 +273,23 @@
     if (!changes) {
         return failure(410, "revision is compacted");
     }
-    json_answer reply;
-    reply.body->set("revision", m_state.store.revision());
-    reply.body->set("events", encode(*changes));
-    return reply;
+    json_response response;
+    response.body->set("revision", m_state.store.revision());
+    response.body->set("events", encode(*changes));
+    return response;
 }
 
-json_answer platform_standin::implementation::control(const json_call &call)
+json_response platform_standin::implementation::control(const json_call &call)
 {
     const std::string command = call.path.substr(sizeof controlPath - 1);
     if (command == "calls" && call.method == "GET") {
         const auto counts = calls();
-        json_answer reply;
-        reply.body->set("reads", counts.reads);
-        reply.body->set("writes", counts.writes);
-        reply.body->set("waiting_watches", counts.waitingWatches);
-        reply.body->set("refused", counts.refused);
-        return reply;
+        json_response response;
+        response.body->set("reads", counts.reads);
+        response.body->set("writes", counts.writes);
+        response.body->set("waiting_watches", counts.waitingWatches);
+        response.body->set("refused", counts.refused);
+        return response;
     }
     if (call.method != "POST") {
         return failure(405, "method not allowed");
@@ -304,7 +304,8 @@
     } else if (command == "delay" && delayMs) {
         change([&](implementation::state &state) { state.delay = milliseconds(*delayMs); });
     } else if (command == "drop-answers" && count) {
-        change([&](implementation::state &state) { state.dropAnswers = static_cast<int>(*count); });
+        change(
+            [&](implementation::state &state) { state.dropResponses = static_cast<int>(*count); });
     } else if (command == "compact") {
         change([](implementation::state &state) { state.store.compact(); });
     } else if (command == "budget" && reads && writes) {
@@ -341,9 +342,9 @@
     m_implementation->change([=](implementation::state &state) { state.delay = delay; });
 }
 
-void platform_standin::dropAnswers(int count)
+void platform_standin::dropResponses(int count)
 {
-    m_implementation->change([=](implementation::state &state) { state.dropAnswers = count; });
+    m_implementation->change([=](implementation::state &state) { state.dropResponses = count; });
 }
 
 void platform_standin::compact()
--- a/tests/standins/platform_standin.h
+++ b/tests/standins/platform_standin.h
@@ -46,7 +46,7 @@
 
     void setOutage(bool enabled);
     void setDelay(std::chrono::milliseconds delay);
-    void dropAnswers(int count);
+    void dropResponses(int count);
     void compact();
     void setBudget(platform_budget budget);
     // Blocks until this many watches are waiting.
--- a/tests/standins/upstream_standin.cpp
+++ b/tests/standins/upstream_standin.cpp
@@ -70,7 +70,7 @@
 
 upstream_standin::upstream_standin(const upstream_standin_options &options)
     : m_options(options)
-    , m_bootId(absl::StrCat(absl::Hex(drawIncarnation())))
+    , m_bootId(absl::StrCat(absl::Hex(generateIncarnation())))
     , m_startedAt(currentTime())
     , m_crash([] { std::_Exit(3); })
 {
@@ -176,7 +176,7 @@
     std::unique_lock lock(m_mutex);
     m_changed.wait(lock, [this] { return m_stopping || !m_faults.frozen; });
     if (m_stopping) {
-        exchange.closeAfterAnswer();
+        exchange.closeAfterResponse();
     }
 }
 
@@ -197,13 +197,13 @@
     const std::string requestPrefix = "/v1/requests/";
     if (uri == "/v1/health" && method == "GET") {
         const bool healthy = faults().healthy;
-        exchange.answer(healthy ? 200 : 503, healthy ? "ok\n" : "unhealthy\n", "text/plain");
+        exchange.respond(healthy ? 200 : 503, healthy ? "ok\n" : "unhealthy\n", "text/plain");
     } else if (uri == "/v1/load" && method == "GET") {
         Poco::JSON::Object load;
         load.set("load", currentLoad());
-        exchange.answer(200, toText(load), jsonType);
+        exchange.respond(200, toText(load), jsonType);
     } else if (uri == "/v1/history" && method == "GET") {
-        exchange.answer(200, historyJson(), jsonType);
+        exchange.respond(200, historyJson(), jsonType);
     } else if (uri == "/v1/grants" && method == "PUT") {
         takeGrants(exchange);
     } else if (uri == "/v1/faults" && method == "PUT") {
@@ -213,9 +213,9 @@
             const std::lock_guard lock(m_mutex);
             m_cancelled.insert(uri.substr(requestPrefix.size()));
         }
-        exchange.answer(200, "{}", jsonType);
+        exchange.respond(200, "{}", jsonType);
     } else {
-        exchange.answer(404, "{}", jsonType);
+        exchange.respond(404, "{}", jsonType);
     }
 }
 
@@ -238,11 +238,11 @@
                 }
                 m_changed.notify_all();
             }
-            exchange.answer(200, "{}", jsonType);
+            exchange.respond(200, "{}", jsonType);
             return;
         }
     }
-    exchange.answer(400, "{}", jsonType);
+    exchange.respond(400, "{}", jsonType);
 }
 
 void upstream_standin::takeFaults(server_exchange &exchange)
@@ -268,11 +268,11 @@
                 : std::optional(object->getValue<uint64_t>("truncate_after"));
         }
     } catch (const Poco::Exception &) {
-        exchange.answer(400, "{}", jsonType);
+        exchange.respond(400, "{}", jsonType);
         return;
     }
     // Answered first, since a frozen stand-in answers nothing.
-    exchange.answer(200, "{}", jsonType);
+    exchange.respond(200, "{}", jsonType);
     setFaults(next);
 }
 
@@ -347,7 +347,7 @@
         Poco::Net::HTTPResponse head(Poco::Net::HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
         head.set(refusedHeader, refused);
         head.set("Retry-After", "1");
-        exchange.answer(head, "");
+        exchange.respond(head, "");
         return;
     }
     const std::string state = execute(exchange, requestId);
@@ -364,7 +364,7 @@
     const Poco::Net::HTTPRequest &request = exchange.request();
     std::string body;
     if (exchange.readAll(body, maxBodyBytes, currentTime() + bodyTimeout) != io_status::Ok) {
-        exchange.closeAfterAnswer();
+        exchange.closeAfterResponse();
         return "broken";
     }
     if (request.has("X-Crash")) {
@@ -407,7 +407,7 @@
     if (request.getMethod() == "PUT") {
         Poco::Net::HTTPResponse head(Poco::Net::HTTPResponse::HTTP_OK);
         head.set("X-Checksum", standinChecksum(*stored));
-        return exchange.answer(head, "") ? "done" : "broken";
+        return exchange.respond(head, "") ? "done" : "broken";
     }
     return stored ? sendBody(exchange, 200, *stored) : sendBody(exchange, 404, "no such body\n");
 }
@@ -428,13 +428,13 @@
         cut = faults().truncateAfter;
     }
     const size_t sent = cut ? std::min<size_t>(*cut, body.size()) : body.size();
-    bool whole = exchange.beginAnswer(head, framing);
+    bool whole = exchange.beginResponse(head, framing);
     for (size_t at = 0; at < sent && whole; at += bodyPieceBytes) {
-        whole = exchange.writeAnswer(
+        whole = exchange.writeResponse(
             std::string_view(body).substr(at, std::min(bodyPieceBytes, sent - at)));
     }
     // An answer that is cut is not ended, so that the server closes the connection.
-    whole = whole && sent == body.size() && exchange.endAnswer();
+    whole = whole && sent == body.size() && exchange.endResponse();
     return whole ? "done" : "broken";
 }
 
