--- a/src/persimmonrail/admission/admission_queue.cpp
+++ b/src/persimmonrail/admission/admission_queue.cpp
@@ -6,33 +6,37 @@
 namespace persimmonrail {
 namespace {
 
-// Period over which shares of the slot time are measured.
-constexpr double memorySeconds = 1;
-// A rank without demand saves up at most this much time of its floor; more would delay more urgent
-// work by a burst.
-constexpr double creditSeconds = 0.1;
-constexpr double smoothing = 0.05;
-// Expected waits are not computed with less than this share of the slots.
+// Time constant of the decay of used slot time, over which the shares of the ranks are measured.
+constexpr double usageDecaySeconds = 1;
+// A rank without demand accumulates the slot time of its floor over at most this time. With more
+// credit, a burst of the rank would delay more urgent requests.
+constexpr double maxFloorCreditSeconds = 0.1;
+// Weight of a new sample in the moving average of the service time.
+constexpr double serviceTimeWeight = 0.05;
+// Smallest share of the slots that is assumed when the expected wait is computed.
 constexpr double minShare = 0.01;
-// A request with less time left than this part of the usual service time is refused at its turn.
-constexpr double minServiceLeft = 0.5;
-// Requests whose deadline leaves less time than this multiple of the usual service time say
-// nothing about the upstream when they miss it.
-constexpr double fairDeadline = 3;
+// A request whose remaining time is below this multiple of the mean service time is rejected when
+// its turn comes.
+constexpr double minServiceTimeRatio = 0.5;
+// A missed deadline indicates overload only if the request ran for more than this multiple of the
+// mean service time. Shorter deadlines can be missed by an upstream that is not overloaded.
+constexpr double attainableDeadlineRatio = 3;
 
 double toSeconds(std::chrono::nanoseconds duration)
 {
     return std::chrono::duration<double>(duration).count();
 }
 
-// Whether the end of a request means that the upstream has less room than assumed.
-bool isOverload(request_outcome outcome, std::string_view reason, double seconds, double service)
+// Returns whether the end of a request indicates that the upstream cannot run as many requests at
+// a time as the limit allows. `seconds` is the latency; both times are in seconds.
+bool indicatesOverload(request_outcome outcome, std::string_view reason, double seconds,
+                       double meanServiceTime)
 {
     if (outcome == request_outcome::NotRun) {
         return reason == "shed";
     }
     if (reason == "deadline-exceeded") {
-        return seconds > fairDeadline * service;
+        return seconds > attainableDeadlineRatio * meanServiceTime;
     }
     return outcome == request_outcome::Unknown
         && (reason == "no-answer" || reason == "silent-connection");
@@ -45,7 +49,7 @@
     : m_options(options)
     , m_limit(slots)
     , m_slots(slots)
-    , m_advancedTo(now)
+    , m_lastUpdate(now)
 {
     setFloors(floors);
 }
@@ -71,7 +75,7 @@
     for (size_t i = 0; i < count; ++i) {
         m_ranks[i].floor = i < floors.size() ? floors[i] : 0;
         if (i >= oldCount) {
-            m_ranks[i].service = toSeconds(m_options.assumedService);
+            m_ranks[i].meanServiceTime = toSeconds(m_options.initialServiceTime);
         }
     }
 }
@@ -82,32 +86,34 @@
     m_limit.setSlots(slots);
 }
 
-void admission_queue::upstreamRestarted(steady_time now)
+void admission_queue::onUpstreamRestart(steady_time now)
 {
     m_limit.restart(now);
 }
 
-void admission_queue::advance(steady_time now)
+// Accrues the floor credit of all ranks and decays their recent slot time up to `now`.
+void admission_queue::updateUsage(steady_time now)
 {
-    const double passed = std::max(0.0, toSeconds(now - m_advancedTo));
-    m_advancedTo = std::max(m_advancedTo, now);
+    const double passed = std::max(0.0, toSeconds(now - m_lastUpdate));
+    m_lastUpdate = std::max(m_lastUpdate, now);
     const double limit = m_limit.current();
-    const double decay = std::exp(-passed / memorySeconds);
+    const double decay = std::exp(-passed / usageDecaySeconds);
     for (rank_state &rank : m_ranks) {
-        rank.credit =
-            std::min(rank.credit + rank.floor * limit * passed, rank.floor * limit * creditSeconds);
-        rank.recentUse *= decay;
+        rank.floorCredit = std::min(rank.floorCredit + rank.floor * limit * passed,
+                                    rank.floor * limit * maxFloorCreditSeconds);
+        rank.recentSlotTime *= decay;
     }
 }
 
-// Share of the slot time that a rank gets while it waits: what more urgent ranks and the floors of
-// less urgent ones leave, and at least its floor.
-double admission_queue::shareOf(size_t rank) const
+// Returns the share of the slot time, from 0 to 1, that a rank gets while its requests wait: the
+// part that is left by more urgent ranks and by the floors of less urgent ranks, but at least the
+// floor of the rank itself.
+double admission_queue::availableShare(size_t rank) const
 {
-    const double available = m_limit.current() * memorySeconds;
+    const double available = m_limit.current() * usageDecaySeconds;
     double share = 1;
     for (size_t i = 0; i < m_ranks.size(); ++i) {
-        const double used = m_ranks[i].recentUse / available;
+        const double used = m_ranks[i].recentSlotTime / available;
         if (i < rank) {
             share -= used;
         } else if (i > rank) {
@@ -117,7 +123,7 @@
     return std::max({share, m_ranks[rank].floor, minShare});
 }
 
-// Seconds until a request that arrives now starts.
+// Returns the expected time in seconds until a request of this rank that arrives now starts.
 double admission_queue::expectedWait(size_t rank) const
 {
     const int limit = m_limit.current();
@@ -125,10 +131,10 @@
         return 0;
     }
     const double ahead = static_cast<double>(m_ranks[rank].waiting) + 1;
-    return ahead * m_ranks[rank].service / (limit * shareOf(rank));
+    return ahead * m_ranks[rank].meanServiceTime / (limit * availableShare(rank));
 }
 
-queue_refusal admission_queue::makeRefusal(std::string reason, size_t rank) const
+queue_refusal admission_queue::makeRejection(std::string reason, size_t rank) const
 {
     const auto wait = static_cast<int64_t>(std::ceil(expectedWait(rank) * 1000));
     return {std::move(reason), milliseconds(std::max<int64_t>(wait, 1))};
@@ -143,33 +149,35 @@
                                                               std::string_view subsidiary,
                                                               steady_time deadline, steady_time now)
 {
-    advance(now);
+    updateUsage(now);
     rank = std::min(rank, m_ranks.size() - 1);
     rank_state &state = m_ranks[rank];
-    // An idle rank always gets one request through, so that a service time that was once too long
-    // for its deadlines is measured again.
+    // An idle rank always accepts one request. Otherwise a mean service time that exceeds the
+    // deadlines of the rank would reject all of its requests and would never be measured again.
     const bool isIdle = state.running == 0 && state.waiting == 0 && deadline > now;
-    if (!isIdle && expectedWait(rank) + state.service > toSeconds(deadline - now)) {
-        return makeRefusal("deadline-unreachable", rank);
+    if (!isIdle && expectedWait(rank) + state.meanServiceTime > toSeconds(deadline - now)) {
+        return makeRejection("deadline-unreachable", rank);
     }
-    if (state.waiting >= maxWaiting() && !evictFor(state, subsidiary)) {
-        return makeRefusal("overload", rank);
+    if (state.waiting >= maxWaiting() && !evictFromLongestQueue(state, subsidiary)) {
+        return makeRejection("overload", rank);
     }
     auto found = state.subsidiaries.find(subsidiary);
     if (found == state.subsidiaries.end()) {
-        forgetIdle(state);
+        removeIdleSubsidiaries(state);
         found = state.subsidiaries.emplace(subsidiary, subsidiary_queue()).first;
     }
     subsidiary_queue &queue = found->second;
-    // Time without demand earns nothing.
-    queue.received = std::max(queue.received, state.virtualTime);
+    // A subsidiary gets no extra slot time for the time in which it had no requests.
+    queue.virtualStartTime = std::max(queue.virtualStartTime, state.virtualTime);
     queue.requests.push_back({m_nextId, deadline});
     ++state.waiting;
     return m_nextId++;
 }
 
-// Makes room in a full queue for a subsidiary that has fewer waiting requests than another one.
-bool admission_queue::evictFor(rank_state &rank, std::string_view subsidiary)
+// Evicts the newest request of the subsidiary with the most waiting requests, to free a place in a
+// full queue for `subsidiary`. Returns false, without an eviction, unless that subsidiary has
+// at least two more waiting requests than `subsidiary`.
+bool admission_queue::evictFromLongestQueue(rank_state &rank, std::string_view subsidiary)
 {
     const auto own = rank.subsidiaries.find(subsidiary);
     const size_t ownCount = own == rank.subsidiaries.end() ? 0 : own->second.requests.size();
@@ -181,13 +189,14 @@
         return false;
     }
     const auto index = static_cast<size_t>(&rank - m_ranks.data());
-    m_evicted.push_back({longest->second.requests.back().id, makeRefusal("overload", index)});
+    m_evicted.push_back({longest->second.requests.back().id, makeRejection("overload", index)});
     longest->second.requests.pop_back();
     --rank.waiting;
     return true;
 }
 
-void admission_queue::forgetIdle(rank_state &rank)
+// Removes the subsidiaries without waiting requests once the rank tracks the maximum number.
+void admission_queue::removeIdleSubsidiaries(rank_state &rank)
 {
     if (rank.subsidiaries.size() < m_options.maxIdleSubsidiaries) {
         return;
@@ -196,6 +205,7 @@
                   [](const auto &entry) { return entry.second.requests.empty(); });
 }
 
+// Returns the rank that gets the next free slot, or std::nullopt if no request waits.
 std::optional<size_t> admission_queue::chooseRank() const
 {
     std::optional<size_t> mostUrgent;
@@ -203,7 +213,7 @@
         if (m_ranks[i].waiting == 0) {
             continue;
         }
-        if (m_ranks[i].floor > 0 && m_ranks[i].credit > 0) {
+        if (m_ranks[i].floor > 0 && m_ranks[i].floorCredit > 0) {
             return i;
         }
         if (!mostUrgent) {
@@ -213,13 +223,14 @@
     return mostUrgent;
 }
 
+// Returns the subsidiary with the earliest virtual start time among those with waiting requests.
 admission_queue::subsidiary_iterator admission_queue::chooseSubsidiary(rank_state &rank) const
 {
     auto chosen = rank.subsidiaries.end();
     for (auto it = rank.subsidiaries.begin(); it != rank.subsidiaries.end(); ++it) {
         if (!it->second.requests.empty()
             && (chosen == rank.subsidiaries.end()
-                || it->second.received < chosen->second.received)) {
+                || it->second.virtualStartTime < chosen->second.virtualStartTime)) {
             chosen = it;
         }
     }
@@ -228,7 +239,7 @@
 
 std::vector<queue_decision> admission_queue::poll(steady_time now)
 {
-    advance(now);
+    updateUsage(now);
     std::vector<queue_decision> decisions;
     decisions.swap(m_evicted);
     while (running() < m_limit.current()) {
@@ -241,36 +252,36 @@
         const waiting_request request = queue.requests.front();
         queue.requests.pop_front();
         --rank.waiting;
-        const double needed = rank.running > 0 ? minServiceLeft * rank.service : 0;
+        const double needed = rank.running > 0 ? minServiceTimeRatio * rank.meanServiceTime : 0;
         if (toSeconds(request.deadline - now) < needed) {
-            decisions.push_back({request.id, makeRefusal("deadline-unreachable", *index)});
+            decisions.push_back({request.id, makeRejection("deadline-unreachable", *index)});
         } else {
-            start(*index, queue, request.id);
+            startRequest(*index, queue, request.id);
             decisions.push_back({request.id, std::nullopt});
         }
     }
     return decisions;
 }
 
-void admission_queue::start(size_t rank, subsidiary_queue &from, uint64_t id)
+void admission_queue::startRequest(size_t rank, subsidiary_queue &from, uint64_t id)
 {
     rank_state &state = m_ranks[rank];
-    const double cost = state.service;
-    charge(state, cost);
+    const double cost = state.meanServiceTime;
+    chargeSlotTime(state, cost);
     ++state.running;
-    state.virtualTime = std::max(state.virtualTime, from.received);
-    from.received += cost;
+    state.virtualTime = std::max(state.virtualTime, from.virtualStartTime);
+    from.virtualStartTime += cost;
     m_running[id] = {rank, cost};
 }
 
-// Counts slot time in seconds; negative values take back what was counted too much.
-void admission_queue::charge(rank_state &rank, double seconds) const
+// Charges slot time to a rank. Negative values correct an earlier charge that was too high.
+void admission_queue::chargeSlotTime(rank_state &rank, double seconds) const
 {
-    const double available = m_limit.current() * memorySeconds;
-    // Use beyond the floor counts against it for the memory only, so that a rank keeps its floor
-    // soon after it had more.
-    rank.credit = std::max(rank.credit - seconds, -rank.floor * available);
-    rank.recentUse = std::clamp(rank.recentUse + seconds, 0.0, available);
+    const double available = m_limit.current() * usageDecaySeconds;
+    // The debt of a rank that used more than its floor is limited to the floor of one decay period,
+    // so that the rank soon gets its floor again.
+    rank.floorCredit = std::max(rank.floorCredit - seconds, -rank.floor * available);
+    rank.recentSlotTime = std::clamp(rank.recentSlotTime + seconds, 0.0, available);
 }
 
 void admission_queue::cancel(uint64_t id)
@@ -287,7 +298,7 @@
 void admission_queue::finish(uint64_t id, request_outcome outcome, std::string_view reason,
                              std::chrono::nanoseconds latency, steady_time now)
 {
-    advance(now);
+    updateUsage(now);
     const auto found = m_running.find(id);
     if (found == m_running.end()) {
         return;
@@ -296,14 +307,14 @@
     m_running.erase(found);
     rank_state &rank = m_ranks[request.rank];
     const double seconds = toSeconds(latency);
-    // The start was charged with the usual service time.
-    charge(rank, seconds - request.charged);
+    // The mean service time was charged at the start.
+    chargeSlotTime(rank, seconds - request.chargedSeconds);
     --rank.running;
     if (outcome == request_outcome::Run) {
-        rank.service += (seconds - rank.service) * smoothing;
+        rank.meanServiceTime += (seconds - rank.meanServiceTime) * serviceTimeWeight;
         m_limit.recordResponse(request.rank, latency, now);
-    } else if (isOverload(outcome, reason, seconds, rank.service)) {
-        m_limit.noteOverload(now);
+    } else if (indicatesOverload(outcome, reason, seconds, rank.meanServiceTime)) {
+        m_limit.recordOverload(now);
     }
 }
 
--- a/src/persimmonrail/admission/admission_queue.h
+++ b/src/persimmonrail/admission/admission_queue.h
@@ -18,24 +18,26 @@
 
 struct admission_options
 {
-    // Requests that may wait per rank, for each slot of the upstream.
+    // Maximum number of waiting requests of a rank, per slot of the upstream.
     int queuePerSlot = 4;
-    // Service time assumed for a rank without finished requests.
-    milliseconds assumedService{5};
-    // Subsidiaries whose use is remembered per rank while none of their requests wait.
+    // Initial value of the moving average of the service time of a rank.
+    milliseconds initialServiceTime{5};
+    // When a rank tracks this many subsidiaries and a new one arrives, the slot time of all
+    // subsidiaries without waiting requests is discarded.
     size_t maxIdleSubsidiaries = 256;
 };
 
-// Why a request is not admitted; it did not run.
+// The reason why a request is rejected. A rejected request did not run.
 struct queue_refusal
 {
-    // "overload" (queue full) or "deadline-unreachable".
+    // "overload" (the queue is full) or "deadline-unreachable".
     std::string reason;
-    // Time until the present queue has been served.
+    // Expected time until the requests of the same rank that wait now have been served; at least
+    // 1 ms.
     milliseconds retryAfter{0};
 };
 
-// Decision on a waiting request: it starts, or it is refused.
+// The decision on a waiting request: the request starts, or is rejected if `refusal` is set.
 struct queue_decision
 {
     uint64_t id = 0;
@@ -44,34 +46,40 @@
 
 // Decides which requests use the slots of one upstream.
 //
-// A free slot goes to the most urgent rank that has had less than its floor of the slot time, and
-// otherwise to the most urgent rank that waits. Within a rank, subsidiaries share the slot time
-// equally. A request that cannot meet its deadline is refused when it arrives or when its turn
-// comes. Each queue is bounded. No clock, no threads: time is an argument. Not thread safe.
+// A free slot goes to the most urgent rank that has waiting requests and has used less slot time
+// than its floor guarantees. If there is no such rank, the slot goes to the most urgent rank with
+// waiting requests. Within a rank, subsidiaries share the slot time equally. A request that cannot
+// meet its deadline is rejected on arrival or when its turn comes. Each queue is bounded. The class
+// reads no clock and starts no threads; callers pass the time. The class is not
+// thread-safe.
 class admission_queue
 {
 public:
-    // `floors`: share of the slot time that each rank keeps, most urgent rank first; not empty.
+    // `floors` holds the guaranteed minimum share of the slot time of each rank, from 0 to 1, the
+    // most urgent rank first. The list must not be empty.
     admission_queue(const admission_options &options, const std::vector<double> &floors, int slots,
                     steady_time now);
 
-    // Requests of ranks that no longer exist move to the last rank.
+    // Replaces the floors and the number of ranks. Requests of removed ranks move to the last rank.
     void setFloors(const std::vector<double> &floors);
-    // `slots` of at least 1.
+    // `slots` must be at least 1.
     void setSlots(int slots);
-    // The upstream started anew and is cold.
-    void upstreamRestarted(steady_time now);
+    // Lowers the concurrency limit for the warm-up of an upstream that has restarted.
+    void onUpstreamRestart(steady_time now);
 
-    // Adds a request; poll() decides on it. `rank` beyond the last counts as the last.
-    // `subsidiary` may be empty.
+    // Enqueues a request and returns its id, or returns a rejection. poll() decides on enqueued
+    // requests. A `rank` beyond the last rank counts as the last. `subsidiary` may be empty.
     std::variant<uint64_t, queue_refusal> submit(size_t rank, std::string_view subsidiary,
                                                  steady_time deadline, steady_time now);
-    // Starts requests while the limit allows it. Call after submit(), finish() and cancel().
+    // Starts waiting requests while the concurrency limit allows it. Returns the decisions made
+    // since the last call, including rejections of requests that submit() evicted. Call after each
+    // submit(), finish() and cancel().
     std::vector<queue_decision> poll(steady_time now);
-    // Removes a request that still waits; no effect on others.
+    // Removes a waiting request. Does nothing if the request has started or is unknown.
     void cancel(uint64_t id);
-    // A started request has ended. `reason` is the upstream guard's word for it; `latency` is
-    // the time from hand-over to the end.
+    // Releases the slot of a started request. `reason` is the reason word that upstream_client
+    // reports; `latency` is the time from dispatch to the end. Does nothing if the request is not
+    // running.
     void finish(uint64_t id, request_outcome outcome, std::string_view reason,
                 std::chrono::nanoseconds latency, steady_time now);
 
@@ -88,18 +96,23 @@
     struct subsidiary_queue
     {
         std::deque<waiting_request> requests;
-        // Slot time received, in seconds, on the scale of rank_state::virtualTime.
-        double received = 0;
+        // Virtual time at which the next request starts, in seconds. The subsidiary with the
+        // earliest start time is served first. Each started request advances the start time of its
+        // subsidiary by the mean service time.
+        double virtualStartTime = 0;
     };
     struct rank_state
     {
         double floor = 0;
-        // Slot time in seconds that the rank may still claim under its floor.
-        double credit = 0;
-        // Mean service time in seconds.
-        double service = 0;
-        // Slot time used, in seconds, decaying over the memory of a second.
-        double recentUse = 0;
+        // Slot time in seconds that the rank may still use ahead of more urgent ranks. Negative
+        // after the rank has used more than its floor.
+        double floorCredit = 0;
+        // Exponentially weighted moving average of the service time, in seconds.
+        double meanServiceTime = 0;
+        // Slot time used, in seconds, with exponential decay (time constant of 1 s).
+        double recentSlotTime = 0;
+        // Latest virtual start time of a started request. Subsidiaries without demand do not fall
+        // behind this time, so that they accumulate no claim to slots.
         double virtualTime = 0;
         size_t waiting = 0;
         size_t running = 0;
@@ -108,21 +121,22 @@
     struct running_request
     {
         size_t rank = 0;
-        double charged = 0;
+        // Slot time in seconds that was charged to the rank at the start of the request.
+        double chargedSeconds = 0;
     };
     using subsidiary_iterator = std::map<std::string, subsidiary_queue, std::less<>>::iterator;
 
-    void advance(steady_time now);
-    double shareOf(size_t rank) const;
+    void updateUsage(steady_time now);
+    double availableShare(size_t rank) const;
     double expectedWait(size_t rank) const;
-    queue_refusal makeRefusal(std::string reason, size_t rank) const;
+    queue_refusal makeRejection(std::string reason, size_t rank) const;
     size_t maxWaiting() const;
-    bool evictFor(rank_state &rank, std::string_view subsidiary);
+    bool evictFromLongestQueue(rank_state &rank, std::string_view subsidiary);
     std::optional<size_t> chooseRank() const;
     subsidiary_iterator chooseSubsidiary(rank_state &rank) const;
-    void start(size_t rank, subsidiary_queue &from, uint64_t id);
-    void charge(rank_state &rank, double seconds) const;
-    void forgetIdle(rank_state &rank);
+    void startRequest(size_t rank, subsidiary_queue &from, uint64_t id);
+    void chargeSlotTime(rank_state &rank, double seconds) const;
+    void removeIdleSubsidiaries(rank_state &rank);
 
     const admission_options m_options;
     concurrency_limit m_limit;
@@ -131,7 +145,7 @@
     std::map<uint64_t, running_request> m_running;
     std::vector<queue_decision> m_evicted;
     uint64_t m_nextId = 1;
-    steady_time m_advancedTo;
+    steady_time m_lastUpdate;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/admission/concurrency_limit.cpp
+++ b/src/persimmonrail/admission/concurrency_limit.cpp
@@ -6,33 +6,45 @@
 namespace persimmonrail {
 namespace {
 
-constexpr int windowSize = 100;
-// A slow upstream ends fewer requests; a window then ends early.
-constexpr int shortWindowSize = 10;
+// A window ends after this many responses.
+constexpr int windowResponses = 100;
+// At a low rate of responses, a window ends with fewer responses, after shortWindowTime.
+constexpr int shortWindowResponses = 10;
 constexpr milliseconds shortWindowTime{500};
-// Latencies vary, so the mean of few answers may lie far from the usual one: for service times
-// with a deviation equal to their mean, these bounds are 5 deviations above it at 100 answers.
+// A window is congested if its mean ratio of latency to baseline exceeds
+// congestedRatio + congestedDeviation / sqrt(responses). The second term allows for the variance of
+// a mean of few responses: if the standard deviation of the service time equals its mean, the bound
+// for 100 responses is 5 standard deviations of their mean above the baseline.
 constexpr double congestedRatio = 1.25;
-constexpr double congestedSpread = 2.5;
-constexpr double calmRatio = 1.15;
-// Keeps one very slow answer from ending a window as congested.
+constexpr double congestedDeviation = 2.5;
+// The limit increases only after windows with a mean ratio below this value.
+constexpr double maxIncreaseRatio = 1.15;
+// Bounds the ratio of a single response, so that one very slow response does not make a window
+// congested.
 constexpr double maxRatio = 10;
-// A lower limit has helped if it took the latency below this share of the earlier one.
-constexpr double helpedShare = 0.85;
-// The usual latency adapts downwards by answers and upwards by time. At thousands of answers a
-// second, a bound in answers made queues in the upstream pass for slower work within seconds.
-constexpr double responsesToLearnDown = 1000;
-// Until then the usual latency of a rank is the mean of all its answers, since a rank may have
-// only a few answers in its first window.
-constexpr int responsesToKnow = 400;
-constexpr double secondsToLearnUp = 30;
-constexpr double overloadFactor = 0.8;
-// Requests in flight when the limit was lowered may still be refused within this time.
-constexpr milliseconds overloadEcho{50};
-constexpr milliseconds minRaisePause{500};
-constexpr milliseconds maxRaisePause{8000};
-constexpr milliseconds rampTime{10000};
-constexpr double rampShare = 0.25;
+// A decrease of the limit was effective if the mean ratio is at most this multiple of the ratio
+// before the decrease.
+constexpr double effectiveDecreaseRatio = 0.85;
+// The baseline falls by the number of responses, and rises by time. At thousands of responses a
+// second, a rise by the number of responses would take queueing in the upstream for a longer
+// service time within seconds.
+constexpr double baselineDecreaseResponses = 1000;
+// The baseline of a rank is the mean of all its responses up to this number, because the first
+// window may contain only a few responses of the rank.
+constexpr int baselineInitialResponses = 400;
+constexpr double baselineIncreaseSeconds = 30;
+// Factor of the limit after an overload.
+constexpr double overloadDecreaseFactor = 0.8;
+// Further overloads within this time after a recorded overload are ignored, because the upstream
+// may still reject requests that were in flight when the limit decreased.
+constexpr milliseconds overloadIgnoreTime{50};
+constexpr milliseconds minIncreaseDelay{500};
+constexpr milliseconds maxIncreaseDelay{8000};
+// High latencies do not decrease the limit within this time after a restart of the upstream, as
+// long as the limit is below the slots.
+constexpr milliseconds warmUpTime{10000};
+// Share of the slots with which the limit starts after a restart of the upstream.
+constexpr double initialWarmUpShare = 0.25;
 
 } // namespace
 
@@ -50,11 +62,11 @@
 
 void concurrency_limit::restart(steady_time now)
 {
-    m_limit = std::max(1.0, m_slots * rampShare);
-    m_rampEnd = now + rampTime;
-    m_isTrial = false;
-    m_toIgnore = 0;
-    discardWindow(now);
+    m_limit = std::max(1.0, m_slots * initialWarmUpShare);
+    m_warmUpEnd = now + warmUpTime;
+    m_isDecreaseOnTrial = false;
+    m_staleResponses = 0;
+    resetWindow(now);
 }
 
 int concurrency_limit::current() const
@@ -65,8 +77,8 @@
 void concurrency_limit::recordResponse(size_t rank, std::chrono::nanoseconds latency,
                                        steady_time now)
 {
-    if (m_toIgnore > 0) {
-        --m_toIgnore;
+    if (m_staleResponses > 0) {
+        --m_staleResponses;
         return;
     }
     if (rank >= m_ranks.size()) {
@@ -80,12 +92,12 @@
     state.windowSum += seconds;
     ++state.windowCount;
     ++m_windowCount;
-    if (state.usual > 0) {
-        m_ratioSum += std::min(seconds / state.usual, maxRatio);
+    if (state.baseline > 0) {
+        m_ratioSum += std::min(seconds / state.baseline, maxRatio);
         ++m_ratioCount;
     }
-    if (m_windowCount >= windowSize
-        || (m_windowCount >= shortWindowSize && now - m_windowStart >= shortWindowTime)) {
+    if (m_windowCount >= windowResponses
+        || (m_windowCount >= shortWindowResponses && now - m_windowStart >= shortWindowTime)) {
         endWindow(now);
     }
 }
@@ -93,47 +105,51 @@
 void concurrency_limit::endWindow(steady_time now)
 {
     const double ratio = m_ratioCount > 0 ? m_ratioSum / m_ratioCount : 1;
-    const bool isRamp = now < m_rampEnd && m_limit < m_slots;
-    if (ratio > congestedRatio + congestedSpread / std::sqrt(std::max(m_ratioCount, 1))) {
-        // One window may exceed the bound by chance, two in a row hardly do. A cold upstream is
-        // slow whatever the limit is.
-        if (m_wasCongested && !isRamp) {
-            lower(ratio);
+    const bool isWarmingUp = now < m_warmUpEnd && m_limit < m_slots;
+    if (ratio > congestedRatio + congestedDeviation / std::sqrt(std::max(m_ratioCount, 1))) {
+        // A single window may exceed the bound by chance; two consecutive windows rarely do. During
+        // warm-up the upstream is slow at any limit.
+        if (m_wasLastWindowCongested && !isWarmingUp) {
+            decrease(ratio);
         }
-        m_wasCongested = true;
+        m_wasLastWindowCongested = true;
     } else {
-        m_wasCongested = false;
-        m_isTrial = false;
-        learnUsual(now);
-        if (ratio < calmRatio && now >= m_raiseAt) {
-            m_limitBeforeRaise = m_limit;
+        m_wasLastWindowCongested = false;
+        m_isDecreaseOnTrial = false;
+        updateBaselines(now);
+        if (ratio < maxIncreaseRatio && now >= m_nextIncreaseAt) {
+            m_limitBeforeIncrease = m_limit;
             m_limit = std::min<double>(m_limit + 1, m_slots);
             if (m_limit >= m_slots) {
-                m_raisePause = milliseconds(0);
+                m_increaseDelay = milliseconds(0);
             }
         }
     }
-    discardWindow(now);
+    resetWindow(now);
 }
 
-void concurrency_limit::lower(double ratio)
+// Decreases the limit for a mean ratio of latency to baseline. If the previous decrease was not
+// effective, the requests themselves take longer; the function then restores the limit from before
+// that decrease and scales the baselines by `ratio` instead.
+void concurrency_limit::decrease(double ratio)
 {
-    if (m_isTrial && ratio > helpedShare * m_ratioBeforeTrial) {
+    if (m_isDecreaseOnTrial && ratio > effectiveDecreaseRatio * m_ratioBeforeDecrease) {
         for (rank_latency &rank : m_ranks) {
-            rank.usual *= ratio;
+            rank.baseline *= ratio;
         }
-        m_limit = std::min<double>(m_limitBeforeTrial, m_slots);
-        m_isTrial = false;
+        m_limit = std::min<double>(m_limitBeforeDecrease, m_slots);
+        m_isDecreaseOnTrial = false;
         return;
     }
-    m_isTrial = true;
-    m_limitBeforeTrial = m_limit;
-    m_ratioBeforeTrial = ratio;
-    m_toIgnore = current();
+    m_isDecreaseOnTrial = true;
+    m_limitBeforeDecrease = m_limit;
+    m_ratioBeforeDecrease = ratio;
+    m_staleResponses = current();
     m_limit = std::max(1.0, m_limit * std::max(0.5, 1 / ratio));
 }
 
-void concurrency_limit::learnUsual(steady_time now)
+// Includes the latencies of the present window, which is not congested, in the baselines.
+void concurrency_limit::updateBaselines(steady_time now)
 {
     const double seconds = std::chrono::duration<double>(now - m_windowStart).count();
     for (rank_latency &rank : m_ranks) {
@@ -141,18 +157,19 @@
             continue;
         }
         const double mean = rank.windowSum / rank.windowCount;
-        rank.responses += rank.windowCount;
-        if (rank.responses <= responsesToKnow) {
-            rank.usual += (mean - rank.usual) * rank.windowCount / rank.responses;
+        rank.responseCount += rank.windowCount;
+        if (rank.responseCount <= baselineInitialResponses) {
+            rank.baseline += (mean - rank.baseline) * rank.windowCount / rank.responseCount;
         } else {
-            const double weight = mean > rank.usual ? seconds / secondsToLearnUp
-                                                    : rank.windowCount / responsesToLearnDown;
-            rank.usual += (mean - rank.usual) * std::min(1.0, weight);
+            const double weight = mean > rank.baseline
+                ? seconds / baselineIncreaseSeconds
+                : rank.windowCount / baselineDecreaseResponses;
+            rank.baseline += (mean - rank.baseline) * std::min(1.0, weight);
         }
     }
 }
 
-void concurrency_limit::discardWindow(steady_time now)
+void concurrency_limit::resetWindow(steady_time now)
 {
     for (rank_latency &rank : m_ranks) {
         rank.windowSum = 0;
@@ -164,23 +181,23 @@
     m_windowStart = now;
 }
 
-void concurrency_limit::noteOverload(steady_time now)
+void concurrency_limit::recordOverload(steady_time now)
 {
     if (now < m_ignoreOverloadUntil) {
         return;
     }
-    m_ignoreOverloadUntil = now + overloadEcho;
-    if (m_limitBeforeRaise > 0) {
-        // Only the last raise was too much.
-        m_limit = m_limitBeforeRaise;
-        m_limitBeforeRaise = 0;
+    m_ignoreOverloadUntil = now + overloadIgnoreTime;
+    if (m_limitBeforeIncrease > 0) {
+        // The limit before the last increase is assumed to be sustainable.
+        m_limit = m_limitBeforeIncrease;
+        m_limitBeforeIncrease = 0;
     } else {
-        m_limit = std::max(1.0, std::min(m_limit * overloadFactor, m_limit - 1));
+        m_limit = std::max(1.0, std::min(m_limit * overloadDecreaseFactor, m_limit - 1));
     }
-    // Each attempt to go above what the upstream takes costs a refused request, so the attempts
-    // become rarer while they fail.
-    m_raisePause = std::clamp(m_raisePause * 2, minRaisePause, maxRaisePause);
-    m_raiseAt = now + m_raisePause;
+    // Each increase beyond the capacity of the upstream costs a rejected request, so the delay
+    // before the next increase grows while increases fail.
+    m_increaseDelay = std::clamp(m_increaseDelay * 2, minIncreaseDelay, maxIncreaseDelay);
+    m_nextIncreaseAt = now + m_increaseDelay;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/admission/concurrency_limit.h
+++ b/src/persimmonrail/admission/concurrency_limit.h
@@ -7,63 +7,79 @@
 
 namespace persimmonrail {
 
-// Number of requests that the upstream runs at a time, between 1 and its announced slots.
+// Adaptive limit on the number of requests that run on the upstream at a time, between 1 and the
+// announced slots.
 //
-// Follows what the upstream does: refusals, lost answers and latencies above those of the same rank
-// in calm times lower it, calm windows raise it by one. If a lower limit does not shorten the
-// latencies, the work itself takes longer, and the limit returns to its earlier value. Probes and
-// announced load have no influence. Not thread safe.
+// Rejections by the upstream, lost responses and latencies above the baseline of their rank
+// decrease the limit. Each window of responses with latencies near the baseline increases the limit
+// by one. If a decrease does not shorten the latencies, the requests themselves take longer, and
+// the limit returns to its earlier value. Probes and the load that the upstream announces have no
+// influence. This class is not thread-safe.
 class concurrency_limit
 {
 public:
-    // `slots` must be at least 1. Starts at `slots`.
+    // Starts with a limit of `slots`, which must be at least 1.
     explicit concurrency_limit(int slots);
 
+    // A limit that was at the earlier number of slots follows the change. Any other limit changes
+    // only if it exceeds `slots`.
     void setSlots(int slots);
-    // The upstream started anew: begins at a quarter of the slots and rises with calm windows.
+    // Sets the limit to a quarter of the slots, for an upstream that has restarted. Windows without
+    // congestion increase it again.
     void restart(steady_time now);
+    // Returns the present limit.
     int current() const;
 
-    // A whole answer. `rank` tells latencies of different kinds of work apart.
+    // Records a complete response. Each rank has its own latency baseline, because requests of
+    // different ranks may take different times.
     void recordResponse(size_t rank, std::chrono::nanoseconds latency, steady_time now);
-    // The upstream refused a request for lack of room, or an answer was lost.
-    void noteOverload(steady_time now);
+    // Records that the upstream rejected a request because of overload, or that a response was
+    // lost.
+    void recordOverload(steady_time now);
 
 private:
     struct rank_latency
     {
-        // Seconds in calm times; 0 until the first calm window has ended.
-        double usual = 0;
-        int responses = 0;
+        // Mean latency without congestion, in seconds; 0 until the first such window has ended.
+        double baseline = 0;
+        // Number of responses that have entered the baseline.
+        int responseCount = 0;
+        // Sum of the latencies in the present window, in seconds.
         double windowSum = 0;
         int windowCount = 0;
     };
 
     void endWindow(steady_time now);
-    void lower(double ratio);
-    void learnUsual(steady_time now);
-    void discardWindow(steady_time now);
+    void decrease(double ratio);
+    void updateBaselines(steady_time now);
+    void resetWindow(steady_time now);
 
     int m_slots;
     double m_limit;
     std::vector<rank_latency> m_ranks;
+    // Ratios of latency to baseline in the present window.
     double m_ratioSum = 0;
     int m_ratioCount = 0;
     int m_windowCount = 0;
     steady_time m_windowStart;
-    // Answers of requests that were sent under an earlier limit.
-    int m_toIgnore = 0;
-    bool m_wasCongested = false;
-    // Set while a limit lowered for latency has not yet shown an effect.
-    bool m_isTrial = false;
-    double m_limitBeforeTrial = 0;
-    double m_ratioBeforeTrial = 0;
-    // The limit at the last calm window if it was raised then, else 0.
-    double m_limitBeforeRaise = 0;
+    // Number of further responses to ignore, because their requests were sent under the limit
+    // before the last decrease.
+    int m_staleResponses = 0;
+    bool m_wasLastWindowCongested = false;
+    // True after a decrease for latency until its effect on the latency is known.
+    bool m_isDecreaseOnTrial = false;
+    double m_limitBeforeDecrease = 0;
+    double m_ratioBeforeDecrease = 0;
+    // The limit before the last increase; 0 before the first increase and after an overload has
+    // undone the last one.
+    double m_limitBeforeIncrease = 0;
     steady_time m_ignoreOverloadUntil;
-    steady_time m_raiseAt;
-    milliseconds m_raisePause{0};
-    steady_time m_rampEnd;
+    // The limit does not increase before this time.
+    steady_time m_nextIncreaseAt;
+    // Time from the last overload to the next increase. Doubles with each overload; returns to 0
+    // when the limit reaches the slots.
+    milliseconds m_increaseDelay{0};
+    steady_time m_warmUpEnd;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/admission/rank_admission.cpp
+++ b/src/persimmonrail/admission/rank_admission.cpp
@@ -9,9 +9,10 @@
 namespace persimmonrail {
 namespace {
 
-// For refusals without a queue whose length would tell more.
+// Sent with rejections that are not derived from the length of the queue.
 constexpr milliseconds defaultRetryAfter{1000};
 
+// Returns the floors of the ranks in the document, or a single floor of 0 if there are none.
 std::vector<double> floorsOf(const service_document *document)
 {
     std::vector<double> floors;
@@ -26,6 +27,7 @@
     return floors;
 }
 
+// A thread that is blocked in admit(). The mutex of rank_admission::state guards `decision`.
 struct waiter
 {
     std::condition_variable changed;
@@ -37,11 +39,15 @@
 class rank_admission::state
 {
 public:
-    void refresh(const admission_options &options, const admission_source &source, steady_time now);
-    // Wakes the waiters on which the queue has decided.
-    void deliver(steady_time now);
-
-    std::function<admission_source()> source;
+    // Applies changes of the slots, the document and the boot id to the queue, and creates the
+    // queue on the first call. The mutex must be held.
+    void applySource(const admission_options &options, const admission_source &source,
+                     steady_time now);
+    // Passes the decisions of the queue to the waiting threads and wakes them. The mutex must be
+    // held.
+    void deliverDecisions(steady_time now);
+
+    std::function<admission_source()> readSource;
     admission_options options;
     std::mutex mutex;
     std::optional<admission_queue> queue;
@@ -55,6 +61,8 @@
 
 namespace {
 
+// Occupies one slot until finish() or destruction. A ticket that is destroyed without finish()
+// counts as a request with an unknown outcome.
 template <typename shared_state> class rank_ticket : public admission_ticket
 {
 public:
@@ -67,25 +75,25 @@
     ~rank_ticket() override
     {
         if (!m_isFinished) {
-            end(request_outcome::Unknown, "", std::chrono::nanoseconds(0),
-                std::chrono::steady_clock::now());
+            release(request_outcome::Unknown, "", std::chrono::nanoseconds(0),
+                    std::chrono::steady_clock::now());
         }
     }
 
     void finish(request_outcome outcome, std::string_view reason, std::chrono::nanoseconds latency,
                 steady_time now) override
     {
-        end(outcome, reason, latency, now);
+        release(outcome, reason, latency, now);
     }
 
 private:
-    void end(request_outcome outcome, std::string_view reason, std::chrono::nanoseconds latency,
-             steady_time now)
+    void release(request_outcome outcome, std::string_view reason, std::chrono::nanoseconds latency,
+                 steady_time now)
     {
         m_isFinished = true;
         const std::lock_guard lock(m_state->mutex);
         m_state->queue->finish(m_id, outcome, reason, latency, now);
-        m_state->deliver(now);
+        m_state->deliverDecisions(now);
     }
 
     std::shared_ptr<shared_state> m_state;
@@ -95,8 +103,8 @@
 
 } // namespace
 
-void rank_admission::state::refresh(const admission_options &options,
-                                    const admission_source &source, steady_time now)
+void rank_admission::state::applySource(const admission_options &options,
+                                        const admission_source &source, steady_time now)
 {
     if (!queue) {
         queue.emplace(options, floorsOf(source.document.get()), source.slots, now);
@@ -108,7 +116,7 @@
             queue->setFloors(floorsOf(source.document.get()));
         }
         if (source.bootId != m_bootId) {
-            queue->upstreamRestarted(now);
+            queue->onUpstreamRestart(now);
         }
     }
     m_slots = source.slots;
@@ -116,10 +124,11 @@
     m_bootId = source.bootId;
 }
 
-void rank_admission::state::deliver(steady_time now)
+void rank_admission::state::deliverDecisions(steady_time now)
 {
     for (queue_decision &decision : queue->poll(now)) {
-        // Each waiter removes its request from the queue before it leaves.
+        // Each undecided request has a waiter, because a thread removes its waiter and cancels its
+        // request under one lock of the mutex.
         waiter &receiver = *waiters.at(decision.id);
         receiver.decision = std::move(decision);
         receiver.changed.notify_one();
@@ -131,37 +140,38 @@
     : m_state(std::make_shared<state>())
 {
     m_state->options = options;
-    m_state->source = std::move(source);
+    m_state->readSource = std::move(source);
 }
 
 rank_admission::~rank_admission() = default;
 
 admission_result rank_admission::admit(const admission_request &request, steady_time now)
 {
-    const admission_source source = m_state->source();
+    const admission_source source = m_state->readSource();
     if (source.slots <= 0) {
         return admission_refusal{"upstream-down", defaultRetryAfter};
     }
     std::unique_lock lock(m_state->mutex);
-    m_state->refresh(m_state->options, source, now);
+    m_state->applySource(m_state->options, source, now);
     auto submitted =
         m_state->queue->submit(request.rank, request.subsidiary, request.deadline, now);
     if (auto *const refusal = std::get_if<queue_refusal>(&submitted)) {
         return admission_refusal{std::move(refusal->reason), refusal->retryAfter};
     }
     const uint64_t id = std::get<uint64_t>(submitted);
-    waiter own;
-    m_state->waiters.emplace(id, &own);
-    m_state->deliver(now);
-    const bool isDecided =
-        own.changed.wait_until(lock, request.deadline, [&own] { return own.decision.has_value(); });
+    waiter self;
+    m_state->waiters.emplace(id, &self);
+    m_state->deliverDecisions(now);
+    const bool isDecided = self.changed.wait_until(lock, request.deadline,
+                                                   [&self] { return self.decision.has_value(); });
     m_state->waiters.erase(id);
     if (!isDecided) {
         m_state->queue->cancel(id);
         return admission_refusal{"deadline-unreachable", defaultRetryAfter};
     }
-    if (own.decision->refusal) {
-        return admission_refusal{own.decision->refusal->reason, own.decision->refusal->retryAfter};
+    if (self.decision->refusal) {
+        return admission_refusal{self.decision->refusal->reason,
+                                 self.decision->refusal->retryAfter};
     }
     return std::make_unique<rank_ticket<state>>(m_state, id);
 }
--- a/src/persimmonrail/admission/rank_admission.h
+++ b/src/persimmonrail/admission/rank_admission.h
@@ -10,29 +10,32 @@
 
 namespace persimmonrail {
 
-// What admission control takes from the upstream and from the service's document.
+// Inputs of admission control from the upstream and from the service document.
 struct admission_source
 {
     // 0 if the upstream has not announced itself.
     int slots = 0;
+    // Identifies one incarnation of the upstream; a change means that the upstream has restarted.
     std::string bootId;
-    // Null if no document is accepted yet; then all work has one rank.
+    // Null until a document has been accepted. All requests then have the same rank.
     std::shared_ptr<const service_document> document;
 };
 
-// Blocking front of admission_queue for traffic threads, for the hook gateway_hooks::admit.
-// Thread safe; tickets may outlive the object.
+// Blocking interface to admission_queue for the threads that serve requests; implements the hook
+// gateway_hooks::admit. This class is thread-safe. Tickets may outlive the object.
 class rank_admission
 {
 public:
-    // `source` is read at each admission and must be thread safe.
+    // `source` is called for each admission and must be thread-safe.
     rank_admission(const admission_options &options, std::function<admission_source()> source);
     ~rank_admission();
 
-    // Waits until the request may run, is refused, or its deadline passes.
+    // Blocks until the request may run, is rejected, or reaches its deadline. A request that
+    // reaches its deadline is rejected with "deadline-unreachable". The request occupies a slot
+    // until the returned ticket is finished or destroyed.
     admission_result admit(const admission_request &request, steady_time now);
 
-    // 0 before the first admission.
+    // Present concurrency limit and number of running requests; 0 before the first admission.
     int limit() const;
     int running() const;
 
--- a/src/persimmonrail/admission/tests/admission_queue_test.cpp
+++ b/src/persimmonrail/admission/tests/admission_queue_test.cpp
@@ -16,7 +16,7 @@
     return {admission_options(), floors, slots, start};
 }
 
-// Submits and returns the id, or 0 if refused.
+// Submits a request and returns its id, or 0 if it is rejected.
 uint64_t submit(admission_queue &queue, size_t rank, const std::string &subsidiary = "",
                 milliseconds timeLeft = 10s, steady_time now = start)
 {
@@ -24,13 +24,13 @@
     return std::holds_alternative<uint64_t>(result) ? std::get<uint64_t>(result) : 0;
 }
 
-queue_refusal refusalOf(const std::variant<uint64_t, queue_refusal> &result)
+queue_refusal rejectionOf(const std::variant<uint64_t, queue_refusal> &result)
 {
     REQUIRE(std::holds_alternative<queue_refusal>(result));
     return std::get<queue_refusal>(result);
 }
 
-std::vector<uint64_t> started(const std::vector<queue_decision> &decisions)
+std::vector<uint64_t> startedIds(const std::vector<queue_decision> &decisions)
 {
     std::vector<uint64_t> ids;
     for (const queue_decision &decision : decisions) {
@@ -41,20 +41,21 @@
     return ids;
 }
 
-// Occupies the only slot, and ends the request that holds it.
+// Occupies the only slot of the queue with one request at a time.
 struct busy_slot
 {
     explicit busy_slot(admission_queue &queue)
         : queue(queue)
         , id(submit(queue, 0))
     {
-        REQUIRE(started(queue.poll(start)) == std::vector{id});
+        REQUIRE(startedIds(queue.poll(start)) == std::vector{id});
     }
-    // Returns the request that starts next.
+    // Ends the running request and returns the id of the request that starts next, or 0 if none
+    // does.
     uint64_t next(milliseconds latency = 5ms)
     {
         queue.finish(id, request_outcome::Run, "answered", latency, start);
-        const auto ids = started(queue.poll(start));
+        const auto ids = startedIds(queue.poll(start));
         id = ids.empty() ? 0 : ids.front();
         return id;
     }
@@ -65,7 +66,8 @@
 
 } // namespace
 
-// Guards against least urgent work that is served before urgent work (P9).
+// Guards against requests of a less urgent rank that are served before those of a more urgent rank
+// (requirement P9 in docs/design.md).
 TEST_CASE("a free slot goes to the most urgent rank", "[admission]")
 {
     struct
@@ -93,9 +95,9 @@
     }
 }
 
-// Guards against ranks that starve under a flood of more urgent work, and against floors that take
-// more than their share from it.
-TEST_CASE("each rank keeps its floor while all ranks overflow", "[admission]")
+// Guards against ranks that starve while more urgent ranks are overloaded, and against floors that
+// give a rank more than its guaranteed share.
+TEST_CASE("each rank gets its floor while all ranks are overloaded", "[admission]")
 {
     struct
     {
@@ -112,8 +114,8 @@
         auto queue = makeQueue(row.floors, slots);
         std::map<uint64_t, size_t> rankOf;
         std::vector<double> used(row.floors.size());
-        using end = std::pair<steady_time, uint64_t>;
-        std::priority_queue<end, std::vector<end>, std::greater<>> ends;
+        using request_end = std::pair<steady_time, uint64_t>;
+        std::priority_queue<request_end, std::vector<request_end>, std::greater<>> pendingEnds;
         steady_time now = start;
         while (now < start + 20s) {
             for (size_t rank = 0; rank < row.floors.size(); ++rank) {
@@ -121,12 +123,12 @@
                     rankOf[id] = rank;
                 }
             }
-            for (const uint64_t id : started(queue.poll(now))) {
-                ends.emplace(now + row.service[rankOf[id]], id);
+            for (const uint64_t id : startedIds(queue.poll(now))) {
+                pendingEnds.emplace(now + row.service[rankOf[id]], id);
             }
-            now = ends.top().first;
-            const uint64_t id = ends.top().second;
-            ends.pop();
+            now = pendingEnds.top().first;
+            const uint64_t id = pendingEnds.top().second;
+            pendingEnds.pop();
             const milliseconds service = row.service[rankOf[id]];
             queue.finish(id, request_outcome::Run, "answered", service, now);
             used[rankOf[id]] += std::chrono::duration<double>(service).count() / (20.0 * slots);
@@ -142,9 +144,9 @@
     }
 }
 
-// Guards against work that takes a slot although its caller has given up, and against refusals of
-// work that would be in time.
-TEST_CASE("work that cannot meet its deadline is refused on arrival", "[admission]")
+// Guards against requests that take a slot although their deadline cannot be met, and against the
+// rejection of requests that can meet their deadline.
+TEST_CASE("a request that cannot meet its deadline is rejected on arrival", "[admission]")
 {
     struct
     {
@@ -152,7 +154,7 @@
         milliseconds timeLeft;
         bool isAdmitted;
     } const rows[] = {
-        // The assumed service time is 5 ms.
+        // The initial service time is 5 ms.
         {0, 4ms, false},
         {0, 11ms, true},
         {3, 20ms, false},
@@ -162,51 +164,51 @@
         INFO(row.waiting << " wait, " << row.timeLeft.count() << " ms left");
         auto queue = makeQueue({0}, 1);
         const busy_slot slot(queue);
-        // The slot time of the running request is taken from nobody's share of one rank.
+        // The slot time of the running request does not reduce the share of the only rank.
         for (int i = 0; i < row.waiting; ++i) {
             submit(queue, 0);
         }
         const auto result = queue.submit(0, "", start + row.timeLeft, start);
         CHECK(std::holds_alternative<uint64_t>(result) == row.isAdmitted);
         if (!row.isAdmitted) {
-            CHECK(refusalOf(result).reason == "deadline-unreachable");
-            CHECK(refusalOf(result).retryAfter == 5ms * (row.waiting + 1));
+            CHECK(rejectionOf(result).reason == "deadline-unreachable");
+            CHECK(rejectionOf(result).retryAfter == 5ms * (row.waiting + 1));
         }
     }
 }
 
-// Guards against a slot spent on a request whose time has run out while it waited.
-TEST_CASE("a request that has become late is refused at its turn", "[admission]")
+// Guards against a request that starts although too little time is left after its wait.
+TEST_CASE("a request with too little time left is rejected at its turn", "[admission]")
 {
     auto queue = makeQueue({0}, 2);
     const uint64_t first = submit(queue, 0);
     submit(queue, 0);
-    REQUIRE(started(queue.poll(start)).size() == 2);
-    const uint64_t late = submit(queue, 0, "", 50ms);
-    const uint64_t inTime = submit(queue, 0, "", 500ms);
+    REQUIRE(startedIds(queue.poll(start)).size() == 2);
+    const uint64_t lateRequest = submit(queue, 0, "", 50ms);
+    const uint64_t punctualRequest = submit(queue, 0, "", 500ms);
     queue.finish(first, request_outcome::Run, "answered", 49ms, start + 49ms);
     const auto decisions = queue.poll(start + 49ms);
     REQUIRE(decisions.size() == 2);
-    CHECK(decisions[0].id == late);
+    CHECK(decisions[0].id == lateRequest);
     CHECK(decisions[0].refusal.value().reason == "deadline-unreachable");
-    CHECK(started(decisions) == std::vector{inTime});
+    CHECK(startedIds(decisions) == std::vector{punctualRequest});
 }
 
-// Guards against a rank that is refused for good after answers slower than its deadlines, whether
-// other ranks are idle or not.
-TEST_CASE("a rank recovers from slow answers", "[admission]")
+// Guards against a rank whose requests are rejected forever because its mean service time exceeds
+// its deadlines, both while other ranks are idle and while they are not.
+TEST_CASE("a rank recovers from slow responses", "[admission]")
 {
     auto queue = makeQueue({0, 0}, 2);
     submit(queue, 0);
     queue.poll(start);
-    const uint64_t slow = submit(queue, 1);
+    const uint64_t slowRequest = submit(queue, 1);
     queue.poll(start);
     steady_time now = start + 1h;
-    queue.finish(slow, request_outcome::Run, "answered", 1h, now);
+    queue.finish(slowRequest, request_outcome::Run, "answered", 1h, now);
     for (int i = 0; i < 300; ++i) {
         const uint64_t id = submit(queue, 1, "", 1s, now);
         REQUIRE(id != 0);
-        REQUIRE(started(queue.poll(now)) == std::vector{id});
+        REQUIRE(startedIds(queue.poll(now)) == std::vector{id});
         now += 5ms;
         queue.finish(id, request_outcome::Run, "answered", 5ms, now);
     }
@@ -214,7 +216,8 @@
     CHECK(submit(queue, 1, "", 1s, now) != 0);
 }
 
-// Guards against queues that grow without bound, and against one rank filling the queue of another.
+// Guards against queues that grow without bound, and against a rank that fills the queue of another
+// rank.
 TEST_CASE("each rank has a bounded queue", "[admission]")
 {
     const admission_options options;
@@ -225,7 +228,7 @@
             submit(queue, 1);
         }
         CHECK(queue.waiting(1) == bound);
-        CHECK(refusalOf(queue.submit(1, "", start + 10s, start)).reason == "overload");
+        CHECK(rejectionOf(queue.submit(1, "", start + 10s, start)).reason == "overload");
         CHECK(submit(queue, 0) != 0);
         const uint64_t last = submit(queue, 0);
         queue.cancel(last);
@@ -233,19 +236,20 @@
     }
 }
 
-// Guards against one subsidiary that takes a rank from the others, in the queue or at the slots.
+// Guards against a subsidiary that starves the other subsidiaries of its rank, in the queue or at
+// the slots.
 TEST_CASE("subsidiaries share a rank", "[admission]")
 {
     auto queue = makeQueue({0}, 1);
     busy_slot slot(queue);
-    std::map<uint64_t, std::string> nameOf;
+    std::map<uint64_t, std::string> subsidiaryOf;
     for (int i = 0; i < 4; ++i) {
-        nameOf[submit(queue, 0, "flooding")] = "flooding";
+        subsidiaryOf[submit(queue, 0, "flooding")] = "flooding";
     }
-    SECTION("a full queue makes room for those with fewer requests")
+    SECTION("a full queue evicts requests of the subsidiary with the most requests")
     {
-        nameOf[submit(queue, 0, "quiet")] = "quiet";
-        nameOf[submit(queue, 0, "quiet")] = "quiet";
+        subsidiaryOf[submit(queue, 0, "quiet")] = "quiet";
+        subsidiaryOf[submit(queue, 0, "quiet")] = "quiet";
         CHECK(queue.waiting(0) == 4);
         CHECK(submit(queue, 0, "quiet") == 0);
         CHECK(submit(queue, 0, "flooding") == 0);
@@ -253,23 +257,23 @@
         REQUIRE(evicted.size() == 2);
         for (const auto &decision : evicted) {
             CHECK(decision.refusal.value().reason == "overload");
-            CHECK(nameOf[decision.id] == "flooding");
+            CHECK(subsidiaryOf[decision.id] == "flooding");
         }
         CHECK(slot.next() != 0);
     }
-    SECTION("slots alternate, and time without demand earns nothing")
+    SECTION("subsidiaries alternate, and gain no slot time while they have no requests")
     {
-        CHECK(nameOf[slot.next()] == "flooding");
-        CHECK(nameOf[slot.next()] == "flooding");
-        nameOf[submit(queue, 0, "quiet")] = "quiet";
-        nameOf[submit(queue, 0, "quiet")] = "quiet";
+        CHECK(subsidiaryOf[slot.next()] == "flooding");
+        CHECK(subsidiaryOf[slot.next()] == "flooding");
+        subsidiaryOf[submit(queue, 0, "quiet")] = "quiet";
+        subsidiaryOf[submit(queue, 0, "quiet")] = "quiet";
         for (const char *expected : {"quiet", "flooding", "quiet", "flooding"}) {
-            CHECK(nameOf[slot.next()] == expected);
+            CHECK(subsidiaryOf[slot.next()] == expected);
         }
     }
 }
 
-// Guards against waiting requests that are lost when a document removes their rank.
+// Guards against the loss of waiting requests when a new document removes their rank.
 TEST_CASE("waiting requests survive a change of the ranks", "[admission]")
 {
     auto queue = makeQueue({0, 0, 0}, 1);
--- a/src/persimmonrail/admission/tests/concurrency_limit_test.cpp
+++ b/src/persimmonrail/admission/tests/concurrency_limit_test.cpp
@@ -12,22 +12,23 @@
 
 const steady_time start = steady_time() + 1h;
 
-// An upstream whose answers take 5 ms on average (exponential), times `slowness`, and longer if
-// more requests run than it has room for.
+// An upstream with exponentially distributed latencies. The mean latency is 5 ms times
+// `serviceTimeFactor`, and grows in proportion while the limit exceeds `capacity`.
 struct fake_upstream
 {
-    int room = 10;
-    double slowness = 1;
+    int capacity = 10;
+    double serviceTimeFactor = 1;
     std::mt19937_64 random{7};
     steady_time now = start;
 
+    // Records `count` responses, one each millisecond.
     void respond(concurrency_limit &limit, int count)
     {
         std::exponential_distribution<double> service(200);
         for (int i = 0; i < count; ++i) {
-            const double queueing = std::max(1.0, static_cast<double>(limit.current()) / room);
+            const double queueing = std::max(1.0, static_cast<double>(limit.current()) / capacity);
             const auto latency = std::chrono::duration_cast<std::chrono::nanoseconds>(
-                std::chrono::duration<double>(service(random) * slowness * queueing));
+                std::chrono::duration<double>(service(random) * serviceTimeFactor * queueing));
             now += 1ms;
             limit.recordResponse(0, latency, now);
         }
@@ -36,21 +37,23 @@
 
 } // namespace
 
-// Guards against a limit that does not follow the upstream down, or does not come back.
-TEST_CASE("the limit follows the room of the upstream", "[admission]")
+// Guards against a limit that does not decrease with the capacity of the upstream, or does not
+// recover.
+TEST_CASE("the limit follows the capacity of the upstream", "[admission]")
 {
     struct
     {
         const char *description;
         std::function<void(fake_upstream &)> change;
-        int lowest;
-        int highest;
+        int minLimit;
+        int maxLimit;
     } const rows[] = {
         {"steady", [](fake_upstream &) {}, 10, 10},
-        {"half the room", [](fake_upstream &upstream) { upstream.room = 5; }, 5, 8},
-        {"a fifth of the room", [](fake_upstream &upstream) { upstream.room = 2; }, 1, 4},
-        // A lower limit would only waste slots.
-        {"slower work", [](fake_upstream &upstream) { upstream.slowness = 3; }, 10, 10},
+        {"half the capacity", [](fake_upstream &upstream) { upstream.capacity = 5; }, 5, 8},
+        {"a fifth of the capacity", [](fake_upstream &upstream) { upstream.capacity = 2; }, 1, 4},
+        // Here a lower limit does not shorten the latencies and would only waste slots.
+        {"longer service times", [](fake_upstream &upstream) { upstream.serviceTimeFactor = 3; },
+         10, 10},
     };
     for (const auto &row : rows) {
         INFO(row.description);
@@ -60,33 +63,34 @@
         REQUIRE(limit.current() == 10);
         row.change(upstream);
         upstream.respond(limit, 1000);
-        CHECK(limit.current() >= row.lowest);
-        CHECK(limit.current() <= row.highest);
-        upstream.room = 10;
+        CHECK(limit.current() >= row.minLimit);
+        CHECK(limit.current() <= row.maxLimit);
+        upstream.capacity = 10;
         upstream.respond(limit, 2000);
         CHECK(limit.current() == 10);
     }
 }
 
-// Guards against an upstream that sheds and is offered as much as before, and against attempts to
-// raise the limit that never become rarer.
-TEST_CASE("refusals lower the limit, and failing raises become rare", "[admission]")
+// Guards against a limit that stays the same although the upstream sheds requests, and against
+// failing increases of the limit that do not become rarer.
+TEST_CASE("overloads decrease the limit, and failing increases become rare", "[admission]")
 {
     concurrency_limit limit(10);
     fake_upstream upstream;
     upstream.respond(limit, 1000);
-    int refusals = 0;
+    int overloads = 0;
     for (int i = 0; i < 20000; ++i) {
         upstream.respond(limit, 1);
         if (limit.current() > 5) {
-            limit.noteOverload(upstream.now);
-            ++refusals;
+            limit.recordOverload(upstream.now);
+            ++overloads;
         }
     }
     CHECK(limit.current() <= 6);
     CHECK(limit.current() >= 4);
-    // The echo of 50 ms may count several times while the limit comes down from 10.
-    CHECK(refusals < 300);
+    // The count includes overloads that the limit ignores within 50 ms after a recorded one, while
+    // the limit falls from 10.
+    CHECK(overloads < 300);
     upstream.respond(limit, 12000);
     CHECK(limit.current() == 10);
     limit.setSlots(4);
@@ -95,18 +99,18 @@
     CHECK(limit.current() == 8);
 }
 
-// Guards against full load on an upstream that has just started.
-TEST_CASE("a restarted upstream is loaded step by step", "[admission]")
+// Guards against an upstream that gets its full load directly after a restart.
+TEST_CASE("the limit rises gradually after a restart of the upstream", "[admission]")
 {
     concurrency_limit limit(10);
     fake_upstream upstream;
     upstream.respond(limit, 2000);
     limit.restart(upstream.now);
     CHECK(limit.current() <= 3);
-    upstream.slowness = 10;
+    upstream.serviceTimeFactor = 10;
     upstream.respond(limit, 1000);
     CHECK(limit.current() <= 3);
-    upstream.slowness = 1;
+    upstream.serviceTimeFactor = 1;
     upstream.respond(limit, 300);
     CHECK(limit.current() > 3);
     CHECK(limit.current() < 10);
@@ -114,16 +118,16 @@
     CHECK(limit.current() == 10);
 }
 
-// Guards against callers who lower the limit for all with deadlines that nobody could meet, and
-// against ends that say nothing about the upstream.
-TEST_CASE("only ends that speak of overload lower the limit", "[admission]")
+// Guards against callers with deadlines that no upstream can meet, which would decrease the limit
+// for all callers, and against decreases for ends of requests that do not indicate overload.
+TEST_CASE("only ends of requests that indicate overload decrease the limit", "[admission]")
 {
     struct
     {
         request_outcome outcome;
         const char *reason;
         milliseconds latency;
-        bool lowers;
+        bool decreasesLimit;
     } const rows[] = {
         {request_outcome::NotRun, "shed", 1ms, true},
         {request_outcome::NotRun, "draining", 1ms, false},
@@ -141,19 +145,19 @@
         const auto id = std::get<uint64_t>(queue.submit(0, "", start + 10s, start));
         queue.poll(start);
         queue.finish(id, row.outcome, row.reason, row.latency, start);
-        CHECK((queue.limit() < 10) == row.lowers);
+        CHECK((queue.limit() < 10) == row.decreasesLimit);
     }
 }
 
-// Guards against a limit that falls by chance: of many windows, some are slow.
-TEST_CASE("a single slow window does not lower the limit", "[admission]")
+// Guards against a limit that decreases by chance, because some of many windows are slow.
+TEST_CASE("a single slow window does not decrease the limit", "[admission]")
 {
     concurrency_limit limit(10);
     fake_upstream upstream;
     upstream.respond(limit, 2000);
-    upstream.slowness = 2;
+    upstream.serviceTimeFactor = 2;
     upstream.respond(limit, 100);
-    upstream.slowness = 1;
+    upstream.serviceTimeFactor = 1;
     for (int i = 0; i < 500; ++i) {
         CHECK(limit.current() == 10);
         upstream.respond(limit, 1);
--- a/src/persimmonrail/admission/tests/rank_admission_test.cpp
+++ b/src/persimmonrail/admission/tests/rank_admission_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr milliseconds generous{60000};
+constexpr milliseconds longTimeLeft{60000};
 
 std::shared_ptr<const service_document> makeDocument(size_t ranks)
 {
@@ -25,7 +25,7 @@
 }
 
 std::unique_ptr<admission_ticket> admit(rank_admission &admission, size_t rank,
-                                        milliseconds timeLeft = generous)
+                                        milliseconds timeLeft = longTimeLeft)
 {
     auto result = admission.admit({"haulbook", rank, "", currentTime() + timeLeft}, currentTime());
     auto *const ticket = std::get_if<std::unique_ptr<admission_ticket>>(&result);
@@ -34,13 +34,13 @@
 
 } // namespace
 
-// Guards against more requests at the upstream than it has slots, and against slots or waiting
-// threads that are lost.
-TEST_CASE("concurrent requests never exceed the slots", "[admission]")
+// Guards against more running requests than the upstream has slots, against slots that are not
+// released, and against waiting threads that are never woken.
+TEST_CASE("the number of running requests never exceeds the slots", "[admission]")
 {
     rank_admission admission({}, [] { return admission_source{3, "boot", makeDocument(2)}; });
     std::atomic<int> running = 0;
-    std::atomic<int> highest = 0;
+    std::atomic<int> maxRunning = 0;
     std::atomic<int> admitted = 0;
     std::vector<std::thread> threads;
     for (size_t i = 0; i < 10; ++i) {
@@ -51,12 +51,12 @@
                     continue;
                 }
                 const int now = ++running;
-                int seen = highest;
-                while (now > seen && !highest.compare_exchange_weak(seen, now)) { }
+                int seen = maxRunning;
+                while (now > seen && !maxRunning.compare_exchange_weak(seen, now)) { }
                 ++admitted;
                 std::this_thread::yield();
                 --running;
-                // Every other ticket ends without a report.
+                // Every other ticket is destroyed without finish().
                 if (n % 2 == 0) {
                     ticket->finish(request_outcome::Run, "answered", 5ms, currentTime());
                 }
@@ -66,32 +66,33 @@
     for (std::thread &thread : threads) {
         thread.join();
     }
-    CHECK(highest <= 3);
+    CHECK(maxRunning <= 3);
     CHECK(admitted == 2000);
     CHECK(admission.running() == 0);
 }
 
-// Guards against a thread that waits beyond its deadline, and against its entry staying behind.
+// Guards against a thread that waits beyond its deadline, and against the request of such a
+// thread staying in the queue.
 TEST_CASE("a request stops waiting at its deadline", "[admission]")
 {
     rank_admission admission({}, [] { return admission_source{1, "boot", nullptr}; });
-    auto holder = admit(admission, 0);
-    REQUIRE(holder != nullptr);
+    auto slotHolder = admit(admission, 0);
+    REQUIRE(slotHolder != nullptr);
     CHECK(admit(admission, 0, 50ms) == nullptr);
-    holder.reset();
+    slotHolder.reset();
     CHECK(admission.running() == 0);
     CHECK(admit(admission, 0) != nullptr);
 }
 
-// Guards against a limit that keeps what an earlier upstream or document said.
-TEST_CASE("admission follows the upstream and the document", "[admission]")
+// Guards against a limit that ignores a change of the upstream or of the document.
+TEST_CASE("admission applies changes of the upstream and of the document", "[admission]")
 {
     admission_source source{0, "", nullptr};
     auto admission = std::make_unique<rank_admission>(admission_options(), [&] { return source; });
-    const auto refused =
-        admission->admit({"haulbook", 0, "", currentTime() + generous}, currentTime());
-    REQUIRE(std::holds_alternative<admission_refusal>(refused));
-    CHECK(std::get<admission_refusal>(refused).reason == "upstream-down");
+    const auto rejected =
+        admission->admit({"haulbook", 0, "", currentTime() + longTimeLeft}, currentTime());
+    REQUIRE(std::holds_alternative<admission_refusal>(rejected));
+    CHECK(std::get<admission_refusal>(rejected).reason == "upstream-down");
     source = {8, "first", makeDocument(3)};
     CHECK(admit(*admission, 2) != nullptr);
     CHECK(admission->limit() == 8);
@@ -100,9 +101,9 @@
     CHECK(admit(*admission, 2) != nullptr);
     CHECK(admission->limit() == 4);
     source.bootId = "second";
-    auto last = admit(*admission, 0);
+    auto lastTicket = admit(*admission, 0);
     CHECK(admission->limit() == 1);
-    // A request may end after the daemon's admission control.
+    // A ticket may be destroyed after the rank_admission object.
     admission.reset();
-    last.reset();
+    lastTicket.reset();
 }
