--- a/src/persimmonrail/requests/at_most_once_table.cpp
+++ b/src/persimmonrail/requests/at_most_once_table.cpp
@@ -5,7 +5,8 @@
 namespace persimmonrail {
 namespace {
 
-at_most_once_verdict refuse(request_outcome outcome, std::string_view reason)
+// Returns a verdict that rejects a request.
+at_most_once_verdict makeRejection(request_outcome outcome, std::string_view reason)
 {
     at_most_once_verdict verdict;
     verdict.what = at_most_once_verdict::action::Refuse;
@@ -14,7 +15,8 @@
     return verdict;
 }
 
-size_t sizeOf(const stored_response &response)
+// Returns the size in bytes that counts towards maxResponseBytes.
+size_t storedSize(const stored_response &response)
 {
     size_t size = sizeof(stored_response) + response.body.size();
     for (const auto &[name, value] : response.fields) {
@@ -41,46 +43,47 @@
                                                wall_time tenureStart, wall_time now)
 {
     const std::lock_guard lock(m_mutex);
-    expire(now);
+    removeExpired(now);
     entry_id id{std::string(service), key};
-    if (const auto known = m_entries.find(id); known != m_entries.end()) {
-        return verdictOf(known->second);
+    if (const auto existing = m_entries.find(id); existing != m_entries.end()) {
+        return verdictForExisting(existing->second);
     }
     const wall_time issued = key.issuedAt();
     if (issued > now + m_options.clockSkew) {
-        return refuse(request_outcome::Unknown, "idempotency-key-from-future");
+        return makeRejection(request_outcome::Unknown, "idempotency-key-from-future");
     }
     if (issued < now - m_options.retention) {
-        return refuse(request_outcome::Unknown, "idempotency-key-expired");
+        return makeRejection(request_outcome::Unknown, "idempotency-key-expired");
     }
-    // An earlier owner may have run it. A caller's clock may be ahead, so a key issued shortly
-    // after the start of the tenure, by its own time, may in fact be older.
+    // An earlier owner may have run the request. The clock of the caller may be ahead by up to the
+    // clock skew, so a key with a time of issue shortly after the start of the tenure may have been
+    // issued before the tenure.
     if (issued < tenureStart + m_options.clockSkew) {
-        return refuse(request_outcome::Unknown, "idempotency-key-before-tenure");
+        return makeRejection(request_outcome::Unknown, "idempotency-key-before-tenure");
     }
     if (m_entries.size() >= m_options.maxEntries) {
-        return refuse(request_outcome::NotRun, "idempotency-table-full");
+        return makeRejection(request_outcome::NotRun, "idempotency-table-full");
     }
-    m_byIssue.emplace(issued, id);
+    m_idsByIssueTime.emplace(issued, id);
     m_entries.emplace(std::move(id), entry());
     return {};
 }
 
-at_most_once_verdict at_most_once_table::verdictOf(const entry &known)
+at_most_once_verdict at_most_once_table::verdictForExisting(const entry &existing)
 {
-    if (known.running) {
-        return refuse(request_outcome::Unknown, "duplicate-in-flight");
+    if (existing.isRunning) {
+        return makeRejection(request_outcome::Unknown, "duplicate-in-flight");
     }
-    if (known.outcome == request_outcome::Unknown) {
-        return refuse(request_outcome::Unknown, "earlier-attempt-unknown");
+    if (existing.outcome == request_outcome::Unknown) {
+        return makeRejection(request_outcome::Unknown, "earlier-attempt-unknown");
     }
-    if (known.response == nullptr) {
-        return refuse(request_outcome::Unknown, "answer-not-kept");
+    if (existing.response == nullptr) {
+        return makeRejection(request_outcome::Unknown, "answer-not-kept");
     }
     at_most_once_verdict verdict;
     verdict.what = at_most_once_verdict::action::Replay;
     verdict.outcome = request_outcome::Run;
-    verdict.response = known.response;
+    verdict.response = existing.response;
     return verdict;
 }
 
@@ -90,58 +93,60 @@
 {
     const std::lock_guard lock(m_mutex);
     const entry_id id{std::string(service), key};
-    const auto known = m_entries.find(id);
-    if (known == m_entries.end()) {
+    const auto existing = m_entries.find(id);
+    if (existing == m_entries.end()) {
         return;
     }
     if (outcome == request_outcome::NotRun) {
-        m_entries.erase(known);
-        const auto [first, last] = m_byIssue.equal_range(key.issuedAt());
+        m_entries.erase(existing);
+        const auto [first, last] = m_idsByIssueTime.equal_range(key.issuedAt());
         for (auto it = first; it != last; ++it) {
             if (it->second == id) {
-                m_byIssue.erase(it);
+                m_idsByIssueTime.erase(it);
                 break;
             }
         }
         return;
     }
-    known->second.running = false;
-    known->second.outcome = outcome;
+    existing->second.isRunning = false;
+    existing->second.outcome = outcome;
     if (outcome == request_outcome::Run && response != nullptr) {
-        storeResponse(id, known->second, std::move(response));
+        storeResponse(id, existing->second, std::move(response));
     }
 }
 
-void at_most_once_table::storeResponse(const entry_id &id, entry &known,
+void at_most_once_table::storeResponse(const entry_id &id, entry &existing,
                                        std::shared_ptr<const stored_response> response)
 {
-    m_responseBytes += sizeOf(*response);
-    known.response = std::move(response);
-    m_withResponse.push_back(id);
+    m_responseBytes += storedSize(*response);
+    existing.response = std::move(response);
+    m_idsWithResponse.push_back(id);
     while (m_responseBytes > m_options.maxResponseBytes) {
-        const auto oldest = m_entries.find(m_withResponse.front());
-        m_withResponse.pop_front();
+        const auto oldest = m_entries.find(m_idsWithResponse.front());
+        m_idsWithResponse.pop_front();
         if (oldest != m_entries.end() && oldest->second.response != nullptr) {
-            m_responseBytes -= sizeOf(*oldest->second.response);
+            m_responseBytes -= storedSize(*oldest->second.response);
             oldest->second.response = nullptr;
         }
     }
 }
 
-// Keeps running requests; their keys are refused as expired by then, except to end().
-void at_most_once_table::expire(wall_time now)
+// Removes the entries whose keys were issued longer ago than the retention plus the clock skew;
+// begin() rejects these keys as expired. The entry of a request that still runs is removed as well,
+// and end() then has no effect.
+void at_most_once_table::removeExpired(wall_time now)
 {
     const wall_time oldestValid = now - m_options.retention - m_options.clockSkew;
-    while (!m_byIssue.empty() && m_byIssue.begin()->first < oldestValid) {
-        const auto known = m_entries.find(m_byIssue.begin()->second);
-        if (known != m_entries.end()) {
-            if (known->second.response != nullptr) {
-                m_responseBytes -= sizeOf(*known->second.response);
-                m_withResponse.remove(known->first);
+    while (!m_idsByIssueTime.empty() && m_idsByIssueTime.begin()->first < oldestValid) {
+        const auto existing = m_entries.find(m_idsByIssueTime.begin()->second);
+        if (existing != m_entries.end()) {
+            if (existing->second.response != nullptr) {
+                m_responseBytes -= storedSize(*existing->second.response);
+                m_idsWithResponse.remove(existing->first);
             }
-            m_entries.erase(known);
+            m_entries.erase(existing);
         }
-        m_byIssue.erase(m_byIssue.begin());
+        m_idsByIssueTime.erase(m_idsByIssueTime.begin());
     }
 }
 
--- a/src/persimmonrail/requests/crash_quarantine.cpp
+++ b/src/persimmonrail/requests/crash_quarantine.cpp
@@ -7,7 +7,7 @@
 namespace persimmonrail {
 namespace {
 
-// FNV-1a, 64 bits.
+// Parameters of the 64-bit FNV-1a hash.
 constexpr uint64_t fnvOffset = 14695981039346656037ULL;
 constexpr uint64_t fnvPrime = 1099511628211ULL;
 
@@ -15,68 +15,69 @@
 
 fingerprint_builder::fingerprint_builder(std::string_view service, std::string_view method,
                                          std::string_view target, uint64_t keyHash)
-    : m_state(fnvOffset)
+    : m_hash(fnvOffset)
 {
-    // Zero bytes separate the fields; none of them can contain one.
+    // Each field ends with a zero byte, which no field can contain.
     for (const std::string_view field : {service, method, target}) {
-        add(field);
-        add(std::string_view("\0", 1));
+        addBytes(field);
+        addBytes(std::string_view("\0", 1));
     }
     for (int shift = 0; shift < 64; shift += 8) {
         const char byte = static_cast<char>(keyHash >> shift);
-        add({&byte, 1});
+        addBytes({&byte, 1});
     }
 }
 
-void fingerprint_builder::add(std::string_view bytes)
+void fingerprint_builder::addBytes(std::string_view bytes)
 {
     for (const char byte : bytes) {
-        m_state = (m_state ^ static_cast<unsigned char>(byte)) * fnvPrime;
+        m_hash = (m_hash ^ static_cast<unsigned char>(byte)) * fnvPrime;
     }
 }
 
-void fingerprint_builder::addBody(std::string_view piece)
+void fingerprint_builder::addBody(std::string_view chunk)
 {
-    piece = piece.substr(0, fingerprintBodyBytes - m_bodyBytes);
-    add(piece);
-    m_bodyBytes += piece.size();
+    chunk = chunk.substr(0, fingerprintBodyBytes - m_bodyBytes);
+    addBytes(chunk);
+    m_bodyBytes += chunk.size();
 }
 
 uint64_t fingerprint_builder::value() const
 {
-    return m_state;
+    return m_hash;
 }
 
 crash_quarantine::crash_quarantine(const crash_quarantine_options &options)
     : m_options(options)
 { }
 
-bool crash_quarantine::isAlive(const record &record, steady_time now) const
+bool crash_quarantine::isUnexpired(const strike_record &record, steady_time now) const
 {
-    return now < record.lastStrike + m_options.entryLife;
+    return now < record.lastStrike + m_options.entryLifetime;
 }
 
-bool crash_quarantine::isRefused(const record &record, steady_time now) const
+bool crash_quarantine::isRejected(const strike_record &record, steady_time now) const
 {
-    return record.strikes >= m_options.strikesToRefuse * strikeParts && isAlive(record, now);
+    return record.strikeParts >= m_options.strikesToReject * partsPerStrike
+        && isUnexpired(record, now);
 }
 
 std::optional<milliseconds> crash_quarantine::refusedFor(uint64_t fingerprint,
                                                          steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto it = m_records.find(fingerprint);
-    if (it == m_records.end() || !isRefused(it->second, now)) {
+    const auto it = m_strikeRecords.find(fingerprint);
+    if (it == m_strikeRecords.end() || !isRejected(it->second, now)) {
         return std::nullopt;
     }
-    return std::chrono::ceil<milliseconds>(it->second.lastStrike + m_options.entryLife - now);
+    return std::chrono::ceil<milliseconds>(it->second.lastStrike + m_options.entryLifetime - now);
 }
 
 bool crash_quarantine::refusesAny(steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
-    return std::any_of(m_records.begin(), m_records.end(),
-                       [&](const auto &item) { return isRefused(item.second, now); });
+    return std::any_of(m_strikeRecords.begin(), m_strikeRecords.end(),
+                       [&](const auto &item) { return isRejected(item.second, now); });
 }
 
 crash_quarantine::run_id crash_quarantine::begin()
@@ -87,7 +88,7 @@
     return run;
 }
 
-void crash_quarantine::end(run_id run, std::optional<uint64_t> fingerprint, run_end how,
+void crash_quarantine::end(run_id run, std::optional<uint64_t> fingerprint, run_end endKind,
                            steady_time now)
 {
     const std::lock_guard lock(m_mutex);
@@ -95,75 +96,82 @@
     if (it == m_running.end()) {
         return;
     }
-    const running ended = it->second;
+    const running_request ended = it->second;
     m_running.erase(it);
-    if (how != run_end::ConnectionLost) {
+    if (endKind != run_end::ConnectionLost) {
         return;
     }
-    if (now < ended.until) {
-        // The crash was noticed before the loss of this connection.
-        if (fingerprint && ended.share > 0) {
-            strike(*fingerprint, ended.share, now);
+    if (now < ended.suspectUntil) {
+        // The crash was detected before the loss of this connection.
+        if (fingerprint && ended.strikeShare > 0) {
+            addStrikeParts(*fingerprint, ended.strikeShare, now);
         }
         return;
     }
-    m_lost.push_back({fingerprint, now});
-    if (m_lost.size() > m_options.maxLost) {
-        m_lost.pop_front();
+    m_lostRequests.push_back({fingerprint, now});
+    if (m_lostRequests.size() > m_options.maxLostRequests) {
+        m_lostRequests.pop_front();
     }
 }
 
 void crash_quarantine::noteCrash(steady_time now)
 {
     const std::lock_guard lock(m_mutex);
-    m_lost.remove_if([&](const lost_run &lost) { return now - lost.at > m_options.lossWindow; });
+    m_lostRequests.remove_if([&](const lost_request &lost) {
+        return now - lost.lostAt > m_options.connectionLossWindow;
+    });
     std::set<uint64_t> suspects;
     size_t unidentified = 0;
-    for (const lost_run &lost : m_lost) {
+    for (const lost_request &lost : m_lostRequests) {
         if (lost.fingerprint) {
             suspects.insert(*lost.fingerprint);
         } else {
             ++unidentified;
         }
     }
-    m_lost.clear();
+    m_lostRequests.clear();
     const size_t count = suspects.size() + unidentified + m_running.size();
-    const uint32_t share = count == 0 || count > m_options.maxSuspects
+    const uint32_t strikeShare = count == 0 || count > m_options.maxSuspects
         ? 0
-        : strikeParts / static_cast<uint32_t>(count);
+        : partsPerStrike / static_cast<uint32_t>(count);
     for (auto &[run, state] : m_running) {
-        state = {share, now + m_options.lossWindow};
+        state = {strikeShare, now + m_options.connectionLossWindow};
     }
-    if (share > 0) {
+    if (strikeShare > 0) {
         for (const uint64_t fingerprint : suspects) {
-            strike(fingerprint, share, now);
+            addStrikeParts(fingerprint, strikeShare, now);
         }
     }
 }
 
-void crash_quarantine::strike(uint64_t fingerprint, uint32_t parts, steady_time now)
+void crash_quarantine::addStrikeParts(uint64_t fingerprint, uint32_t parts, steady_time now)
 {
-    const auto it = m_records.find(fingerprint);
-    const uint32_t earlier =
-        it != m_records.end() && isAlive(it->second, now) ? it->second.strikes : 0;
-    put(fingerprint, {earlier + parts, now}, now);
+    const auto it = m_strikeRecords.find(fingerprint);
+    const uint32_t earlierParts =
+        it != m_strikeRecords.end() && isUnexpired(it->second, now) ? it->second.strikeParts : 0;
+    insertRecord(fingerprint, {earlierParts + parts, now}, now);
 }
 
-void crash_quarantine::put(uint64_t fingerprint, const record &record, steady_time now)
+// Stores the record of a fingerprint, and removes other records if the number is at its maximum.
+void crash_quarantine::insertRecord(uint64_t fingerprint, const strike_record &record,
+                                    steady_time now)
 {
-    if (m_records.size() >= m_options.maxEntries && !m_records.contains(fingerprint)) {
-        std::erase_if(m_records, [&](const auto &item) { return !isAlive(item.second, now); });
-        if (m_records.size() >= m_options.maxEntries) {
-            // The entry that is the least evidence makes room.
-            const auto weakest = std::min_element(
-                m_records.begin(), m_records.end(), [](const auto &left, const auto &right) {
-                    return std::pair(left.second.strikes, left.second.lastStrike)
-                        < std::pair(right.second.strikes, right.second.lastStrike);
+    if (m_strikeRecords.size() >= m_options.maxEntries && !m_strikeRecords.contains(fingerprint)) {
+        std::erase_if(m_strikeRecords,
+                      [&](const auto &item) { return !isUnexpired(item.second, now); });
+        if (m_strikeRecords.size() >= m_options.maxEntries) {
+            // The record with the fewest strikes, and among these with the oldest strike, is the
+            // weakest evidence and is removed.
+            const auto weakestRecord = std::min_element(
+                m_strikeRecords.begin(), m_strikeRecords.end(),
+                [](const auto &left, const auto &right) {
+                    return std::pair(left.second.strikeParts, left.second.lastStrike)
+                        < std::pair(right.second.strikeParts, right.second.lastStrike);
                 });
-            m_records.erase(weakest);
+            m_strikeRecords.erase(weakestRecord);
         }
     }
-    m_records[fingerprint] = record;
+    m_strikeRecords[fingerprint] = record;
 }
 
 std::vector<crash_quarantine::entry> crash_quarantine::entries(size_t limit, steady_time now) const
@@ -171,10 +179,10 @@
     std::vector<entry> result;
     {
         const std::lock_guard lock(m_mutex);
-        for (const auto &[fingerprint, record] : m_records) {
+        for (const auto &[fingerprint, record] : m_strikeRecords) {
             const auto age = std::chrono::duration_cast<milliseconds>(now - record.lastStrike);
-            if (age < m_options.entryLife - m_options.spreadMargin) {
-                result.push_back({fingerprint, record.strikes, std::max(age, milliseconds(0))});
+            if (age < m_options.entryLifetime - m_options.minRemainingLifetime) {
+                result.push_back({fingerprint, record.strikeParts, std::max(age, milliseconds(0))});
             }
         }
     }
@@ -191,16 +199,19 @@
     const std::lock_guard lock(m_mutex);
     for (const entry &received : entries) {
         if (received.age < milliseconds(0)
-            || received.age >= m_options.entryLife - m_options.spreadMargin) {
+            || received.age >= m_options.entryLifetime - m_options.minRemainingLifetime) {
             continue;
         }
-        const auto it = m_records.find(received.fingerprint);
-        const uint32_t known =
-            it != m_records.end() && isAlive(it->second, now) ? it->second.strikes : 0;
-        if (received.strikes > known) {
-            // More strikes than this add nothing and could overflow the sum.
-            const uint32_t cap = 1000 * strikeParts;
-            put(received.fingerprint, {std::min(received.strikes, cap), now - received.age}, now);
+        const auto it = m_strikeRecords.find(received.fingerprint);
+        const uint32_t knownParts = it != m_strikeRecords.end() && isUnexpired(it->second, now)
+            ? it->second.strikeParts
+            : 0;
+        if (received.strikes > knownParts) {
+            // More than 1000 strikes have no further effect, and could overflow the sum with later
+            // strikes.
+            const uint32_t maxMergedParts = 1000 * partsPerStrike;
+            insertRecord(received.fingerprint,
+                         {std::min(received.strikes, maxMergedParts), now - received.age}, now);
         }
     }
 }
@@ -208,7 +219,7 @@
 size_t crash_quarantine::size() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_records.size();
+    return m_strikeRecords.size();
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/requests/idempotency_key.cpp
+++ b/src/persimmonrail/requests/idempotency_key.cpp
@@ -12,7 +12,7 @@
     return position == 8 || position == 13 || position == 18 || position == 23;
 }
 
-// Returns -1 if the character is no hexadecimal digit.
+// Returns the value of a hexadecimal digit, or -1 for any other character.
 int digitValue(char c)
 {
     if (c >= '0' && c <= '9') {
@@ -24,7 +24,7 @@
     return c >= 'A' && c <= 'F' ? c - 'A' + 10 : -1;
 }
 
-absl::Status malformed()
+absl::Status malformedKeyError()
 {
     return absl::InvalidArgumentError("the idempotency key is not a UUID of version 7");
 }
@@ -43,29 +43,29 @@
 absl::StatusOr<idempotency_key> parseIdempotencyKey(std::string_view text)
 {
     if (text.size() != textLength) {
-        return malformed();
+        return malformedKeyError();
     }
     idempotency_key key;
-    size_t digits = 0;
+    size_t digitCount = 0;
     for (size_t i = 0; i < text.size(); ++i) {
         if (isHyphenPosition(i)) {
             if (text[i] != '-') {
-                return malformed();
+                return malformedKeyError();
             }
             continue;
         }
         const int value = digitValue(text[i]);
         if (value < 0) {
-            return malformed();
+            return malformedKeyError();
         }
-        auto &byte = key.bytes[digits / 2];
+        auto &byte = key.bytes[digitCount / 2];
         byte = static_cast<uint8_t>((byte << 4) | value);
-        ++digits;
+        ++digitCount;
     }
     const bool isVersion7 = (key.bytes[6] >> 4) == 7;
     const bool isRfcVariant = (key.bytes[8] >> 6) == 2;
     if (!isVersion7 || !isRfcVariant) {
-        return malformed();
+        return malformedKeyError();
     }
     return key;
 }
--- a/src/persimmonrail/requests/tests/at_most_once_table_test.cpp
+++ b/src/persimmonrail/requests/tests/at_most_once_table_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 const wall_time start{seconds(1'800'000'000)};
-const wall_time longAgo = start - seconds(3600);
+const wall_time earlyTenureStart = start - seconds(3600);
 
 idempotency_key keyIssuedAt(wall_time issued, uint8_t number = 1)
 {
@@ -35,8 +35,8 @@
 
 } // namespace
 
-// Guards against a key that is read as another one, or a random UUID whose first bytes are taken
-// for a time.
+// Guards against a key that is parsed incorrectly, and against a random UUID whose first bytes are
+// interpreted as a time.
 TEST_CASE("idempotency keys are UUIDs of version 7", "[requests]")
 {
     struct
@@ -61,13 +61,13 @@
           == wall_time(milliseconds(0x01a2b3c4d5e6)));
 }
 
-// Guards against a second run of a request that its caller sends again.
-TEST_CASE("a resent request is not handed over again", "[requests]")
+// Guards against a request that runs twice because its caller sends the request again.
+TEST_CASE("a repeated request is not dispatched again", "[requests]")
 {
     at_most_once_table table;
     const auto key = keyIssuedAt(start);
-    REQUIRE(table.begin("orderbook", key, longAgo, start).what == action::Proceed);
-    CHECK(table.begin("orderbook", key, longAgo, start).what == action::Refuse);
+    REQUIRE(table.begin("orderbook", key, earlyTenureStart, start).what == action::Proceed);
+    CHECK(table.begin("orderbook", key, earlyTenureStart, start).what == action::Refuse);
 
     struct
     {
@@ -83,17 +83,20 @@
     uint8_t number = 10;
     for (const auto &row : rows) {
         CAPTURE(toString(row.outcome), row.storesResponse);
-        const auto resent = keyIssuedAt(start, number++);
-        REQUIRE(table.begin("orderbook", resent, longAgo, start).what == action::Proceed);
-        table.end("orderbook", resent, row.outcome, row.storesResponse ? responseOf(10) : nullptr);
-        const auto verdict = table.begin("orderbook", resent, longAgo, start);
+        const auto repeatedKey = keyIssuedAt(start, number++);
+        REQUIRE(table.begin("orderbook", repeatedKey, earlyTenureStart, start).what
+                == action::Proceed);
+        table.end("orderbook", repeatedKey, row.outcome,
+                  row.storesResponse ? responseOf(10) : nullptr);
+        const auto verdict = table.begin("orderbook", repeatedKey, earlyTenureStart, start);
         CHECK(verdict.what == row.expected);
         CHECK((verdict.what != action::Refuse || verdict.outcome == request_outcome::Unknown));
     }
 }
 
-// Guards against a run that an earlier owner, whose memory is lost, may have made already.
-TEST_CASE("keys of uncertain history are refused as unknown", "[requests]")
+// Guards against a second run of a request that an earlier owner, whose table is lost, may have
+// run.
+TEST_CASE("keys that may have been used before are rejected with an unknown outcome", "[requests]")
 {
     struct
     {
@@ -104,53 +107,57 @@
     } const table[] = {
         {"issued long after the tenure began", seconds(0), seconds(-60), action::Proceed},
         {"issued before the tenure began", seconds(-61), seconds(-60), action::Refuse},
-        {"issued within the clock skew of its begin", seconds(-56), seconds(-60), action::Refuse},
+        {"issued within the clock skew after the tenure began", seconds(-56), seconds(-60),
+         action::Refuse},
         {"older than the retention", seconds(-601), seconds(-3600), action::Refuse},
         {"issued in the future", seconds(6), seconds(-3600), action::Refuse},
         {"caller's clock slightly ahead", seconds(4), seconds(-3600), action::Proceed},
     };
     for (const auto &row : table) {
         CAPTURE(row.what);
-        at_most_once_table fresh;
+        at_most_once_table emptyTable;
         const auto verdict =
-            fresh.begin("s", keyIssuedAt(start + row.issued), start + row.tenureStart, start);
+            emptyTable.begin("s", keyIssuedAt(start + row.issued), start + row.tenureStart, start);
         CHECK(verdict.what == row.expected);
         CHECK((verdict.what == action::Proceed || verdict.outcome == request_outcome::Unknown));
     }
 }
 
-// Guards against an entry that is dropped while its key would still be accepted, which would let
-// the request run twice, and against memory without bound.
-TEST_CASE("entries outlive the acceptance of their keys", "[requests]")
+// Guards against an entry that is removed while its key would still be accepted, so that the
+// request could run twice, and against unbounded memory.
+TEST_CASE("entries are kept until their keys are rejected", "[requests]")
 {
     at_most_once_options options;
     options.maxEntries = 2;
     at_most_once_table table(options);
     const auto key = keyIssuedAt(start);
-    REQUIRE(table.begin("s", key, longAgo, start).what == action::Proceed);
+    REQUIRE(table.begin("s", key, earlyTenureStart, start).what == action::Proceed);
     table.end("s", key, request_outcome::Run, nullptr);
-    REQUIRE(table.begin("s", keyIssuedAt(start, 2), longAgo, start).what == action::Proceed);
-    const auto full = table.begin("s", keyIssuedAt(start, 3), longAgo, start);
-    CHECK(full.what == action::Refuse);
-    CHECK(full.outcome == request_outcome::NotRun);
-    for (int later = 0; later < 2000; later += 10) {
-        CAPTURE(later);
-        CHECK(table.begin("s", key, longAgo, start + seconds(later)).what == action::Refuse);
+    REQUIRE(table.begin("s", keyIssuedAt(start, 2), earlyTenureStart, start).what
+            == action::Proceed);
+    const auto fullTableVerdict = table.begin("s", keyIssuedAt(start, 3), earlyTenureStart, start);
+    CHECK(fullTableVerdict.what == action::Refuse);
+    CHECK(fullTableVerdict.outcome == request_outcome::NotRun);
+    for (int elapsedSeconds = 0; elapsedSeconds < 2000; elapsedSeconds += 10) {
+        CAPTURE(elapsedSeconds);
+        CHECK(table.begin("s", key, earlyTenureStart, start + seconds(elapsedSeconds)).what
+              == action::Refuse);
     }
     CHECK(table.size() == 0);
 }
 
-TEST_CASE("kept answers are bounded", "[requests]")
+// Guards against unbounded memory for stored responses.
+TEST_CASE("the total size of stored responses is bounded", "[requests]")
 {
     at_most_once_options options;
     options.maxResponseBytes = 10000;
     at_most_once_table table(options);
     for (uint8_t number = 1; number <= 20; ++number) {
         const auto key = keyIssuedAt(start, number);
-        REQUIRE(table.begin("s", key, longAgo, start).what == action::Proceed);
+        REQUIRE(table.begin("s", key, earlyTenureStart, start).what == action::Proceed);
         table.end("s", key, request_outcome::Run, responseOf(1000));
         CHECK(table.responseBytes() <= options.maxResponseBytes);
     }
-    CHECK(table.begin("s", keyIssuedAt(start, 1), longAgo, start).what == action::Refuse);
-    CHECK(table.begin("s", keyIssuedAt(start, 20), longAgo, start).what == action::Replay);
+    CHECK(table.begin("s", keyIssuedAt(start, 1), earlyTenureStart, start).what == action::Refuse);
+    CHECK(table.begin("s", keyIssuedAt(start, 20), earlyTenureStart, start).what == action::Replay);
 }
--- a/src/persimmonrail/requests/tests/crash_quarantine_test.cpp
+++ b/src/persimmonrail/requests/tests/crash_quarantine_test.cpp
@@ -12,7 +12,8 @@
 
 const steady_time start{seconds(100'000)};
 
-// Runs the fingerprints at the same time; the upstream crashes and is noticed `delay` later.
+// Runs requests with these fingerprints at the same time. All of them lose their connections at
+// `now`, and the crash is detected `delay` later.
 void crash(crash_quarantine &quarantine, const std::vector<uint64_t> &running, steady_time now,
            milliseconds delay = milliseconds(1000))
 {
@@ -28,34 +29,35 @@
 
 } // namespace
 
-// Guards against blaming requests for crashes they had little part in, and against letting one
-// through that crashes the upstream each time.
-TEST_CASE("strikes are shared by the few requests that were running", "[requests]")
+// Guards against the rejection of requests that are unlikely to have caused a crash, and against
+// the acceptance of a request that crashes the upstream each time.
+TEST_CASE("a strike is shared by up to 4 running requests", "[requests]")
 {
     struct
     {
         std::vector<uint64_t> running;
-        int crashesUntilRefused;
+        int crashesUntilRejected;
     } const table[] = {
         {{1}, 2}, {{1, 1}, 2}, {{1, 2}, 4}, {{1, 2, 3}, 6}, {{1, 2, 3, 4}, 8}, {{1, 2, 3, 4, 5}, 0},
     };
     for (const auto &row : table) {
         CAPTURE(row.running);
         crash_quarantine quarantine;
-        int refusedAfter = 0;
-        for (int i = 1; i <= 10 && refusedAfter == 0; ++i) {
+        int rejectedAfter = 0;
+        for (int i = 1; i <= 10 && rejectedAfter == 0; ++i) {
             const steady_time now = start + seconds(10 * i);
             crash(quarantine, row.running, now);
-            refusedAfter = quarantine.refusedFor(1, now + seconds(1)) ? i : 0;
+            rejectedAfter = quarantine.refusedFor(1, now + seconds(1)) ? i : 0;
         }
-        CHECK(refusedAfter == row.crashesUntilRefused);
-        CHECK(quarantine.refusesAny(start + seconds(100)) == (row.crashesUntilRefused > 0));
+        CHECK(rejectedAfter == row.crashesUntilRejected);
+        CHECK(quarantine.refusesAny(start + seconds(100)) == (row.crashesUntilRejected > 0));
         CHECK_FALSE(quarantine.refusedFor(77, start + seconds(100)));
     }
 }
 
-// Guards against a strike for a lost connection without a crash, or for a crash without one.
-TEST_CASE("only a lost connection together with a crash is a strike", "[requests]")
+// Guards against strikes for a lost connection without a crash, and for a crash without a lost
+// connection.
+TEST_CASE("only a lost connection together with a crash adds a strike", "[requests]")
 {
     crash_quarantine quarantine;
     SECTION("regular ends")
@@ -77,7 +79,7 @@
             quarantine.end(quarantine.begin(), 1, run_end::ConnectionLost, start);
         }
     }
-    SECTION("a running request that ends regularly after the crash was noticed")
+    SECTION("a running request that ends regularly after the crash was detected")
     {
         for (int i = 0; i < 3; ++i) {
             const auto run = quarantine.begin();
@@ -85,7 +87,7 @@
             quarantine.end(run, 1, run_end::Regular, start);
         }
     }
-    SECTION("a body that was cut off by the crash has no fingerprint")
+    SECTION("a request whose body was interrupted by the crash has no fingerprint")
     {
         for (int i = 0; i < 3; ++i) {
             quarantine.end(quarantine.begin(), std::nullopt, run_end::ConnectionLost, start);
@@ -100,8 +102,8 @@
     CHECK_FALSE(quarantine.refusesAny(start + seconds(50)));
 }
 
-// Guards against a strike that is missed because the crash is noticed first.
-TEST_CASE("a connection lost after the crash was noticed counts", "[requests]")
+// Guards against a missing strike if the crash is detected before the connection is lost.
+TEST_CASE("a connection lost after the detection of the crash adds a strike", "[requests]")
 {
     crash_quarantine quarantine;
     for (int i = 0; i < 2; ++i) {
@@ -112,8 +114,8 @@
     CHECK(quarantine.refusedFor(1, start + seconds(1)));
 }
 
-// Guards against a quarantine without end and against unbounded memory.
-TEST_CASE("entries age out and are bounded in number", "[requests]")
+// Guards against entries that never expire, and against unbounded memory.
+TEST_CASE("entries expire and are bounded in number", "[requests]")
 {
     crash_quarantine_options options;
     options.maxEntries = 3;
@@ -128,13 +130,14 @@
     CHECK(quarantine.refusedFor(1, start + seconds(10)) == seconds(600));
     CHECK(quarantine.refusedFor(1, start + seconds(609)) == seconds(1));
     CHECK_FALSE(quarantine.refusedFor(1, start + seconds(610)));
-    // An aged entry counts for nothing when the next strike comes.
+    // The strikes of an expired entry are not added to the next strike.
     crash(quarantine, {1}, start + seconds(700), milliseconds(0));
     CHECK_FALSE(quarantine.refusedFor(1, start + seconds(700)));
 }
 
-// Guards against an entry that other daemons weaken, keep alive or never get.
-TEST_CASE("entries spread by maximum and never get younger", "[requests]")
+// Guards against entries that lose strikes or never expire because daemons exchange them, and
+// against entries that do not reach other daemons.
+TEST_CASE("merging keeps the entry with more strikes and does not renew entries", "[requests]")
 {
     crash_quarantine first;
     crash_quarantine second;
@@ -145,7 +148,7 @@
     crash(first, {1}, start + seconds(5), milliseconds(0));
     second.merge(first.entries(64, start + seconds(6)), start + seconds(6));
     CHECK(second.refusedFor(1, start + seconds(6)) == seconds(599));
-    // The same entry on its way back, later, changes nothing.
+    // The same entry, received later, does not change the record.
     first.merge(first.entries(64, start + seconds(6)), start + seconds(8));
     CHECK(first.refusedFor(1, start + seconds(8)) == seconds(597));
     CHECK(first.entries(64, start + seconds(546)).empty());
@@ -154,24 +157,26 @@
     CHECK(first.entries(0, start + seconds(6)).empty());
 }
 
-// Guards against mixing up requests, which would refuse innocent ones.
+// Guards against requests that share the fingerprint of a different, rejected request.
 TEST_CASE("each part of a request enters its fingerprint", "[requests]")
 {
-    const auto of = [](std::string_view service, std::string_view method, std::string_view target,
-                       uint64_t hash, const std::vector<std::string> &body) {
-        fingerprint_builder builder(service, method, target, hash);
-        for (const std::string &piece : body) {
-            builder.addBody(piece);
+    const auto fingerprintOf = [](std::string_view service, std::string_view method,
+                                  std::string_view target, uint64_t keyHash,
+                                  const std::vector<std::string> &body) {
+        fingerprint_builder builder(service, method, target, keyHash);
+        for (const std::string &chunk : body) {
+            builder.addBody(chunk);
         }
         return builder.value();
     };
-    const uint64_t reference = of("a", "PUT", "/a/b", 5, {"body"});
-    CHECK(of("a", "PUT", "/a/b", 5, {"bo", "dy"}) == reference);
-    CHECK(of("b", "PUT", "/a/b", 5, {"body"}) != reference);
-    CHECK(of("a", "POST", "/a/b", 5, {"body"}) != reference);
-    CHECK(of("a", "PUT", "/a/c", 5, {"body"}) != reference);
-    CHECK(of("a", "PUT", "/a/b", 6, {"body"}) != reference);
-    CHECK(of("a", "PUT", "/a/b", 5, {"bod"}) != reference);
+    const uint64_t reference = fingerprintOf("a", "PUT", "/a/b", 5, {"body"});
+    CHECK(fingerprintOf("a", "PUT", "/a/b", 5, {"bo", "dy"}) == reference);
+    CHECK(fingerprintOf("b", "PUT", "/a/b", 5, {"body"}) != reference);
+    CHECK(fingerprintOf("a", "POST", "/a/b", 5, {"body"}) != reference);
+    CHECK(fingerprintOf("a", "PUT", "/a/c", 5, {"body"}) != reference);
+    CHECK(fingerprintOf("a", "PUT", "/a/b", 6, {"body"}) != reference);
+    CHECK(fingerprintOf("a", "PUT", "/a/b", 5, {"bod"}) != reference);
     const std::string large(fingerprintBodyBytes, 'x');
-    CHECK(of("a", "PUT", "/a/b", 5, {large, "1"}) == of("a", "PUT", "/a/b", 5, {large + "2"}));
+    CHECK(fingerprintOf("a", "PUT", "/a/b", 5, {large, "1"})
+          == fingerprintOf("a", "PUT", "/a/b", 5, {large + "2"}));
 }
