--- a/src/persimmonrail/keyspace/key_placement.cpp
+++ b/src/persimmonrail/keyspace/key_placement.cpp
@@ -18,11 +18,11 @@
 {
     const auto after = std::upper_bound(
         ranges.begin(), ranges.end(), key,
-        [](shard_key wanted, const owned_range &range) { return wanted < range.keys.first; });
+        [](shard_key wantedKey, const owned_range &range) { return wantedKey < range.keys.first; });
     return *std::prev(after);
 }
 
-owned_range &key_placement::carve(key_interval keys)
+owned_range &key_placement::isolateRange(key_interval keys)
 {
     std::vector<owned_range> result;
     for (const owned_range &range : ranges) {
@@ -53,7 +53,7 @@
                          [&](const owned_range &range) { return range.keys == keys; });
 }
 
-void key_placement::join()
+void key_placement::mergeAdjacentRanges()
 {
     std::vector<owned_range> result;
     for (owned_range &range : ranges) {
@@ -74,7 +74,7 @@
     return {std::move(service), 0, {owned_range{}}};
 }
 
-bool isWhole(const key_placement &placement)
+bool isValid(const key_placement &placement)
 {
     uint64_t next = 0;
     for (const owned_range &range : placement.ranges) {
@@ -89,55 +89,66 @@
 
 namespace {
 
-// The strings of a placement, each once; ranges name them by position.
-class text_table
+// Distinct strings of a placement. The encoded ranges refer to a string by its index.
+class string_table
 {
 public:
+    // Returns the index of the text, which is added if it is new.
     int64_t add(const std::string &text)
     {
-        const auto [entry, isNew] = m_positions.emplace(text, static_cast<int64_t>(m_texts.size()));
+        const auto [entry, isNew] = m_indexes.emplace(text, static_cast<int64_t>(m_texts.size()));
         if (isNew) {
             m_texts.add(text);
         }
         return entry->second;
     }
-    int64_t add(const upstream_id &id) { return id.isEmpty() ? noText : add(toString(id)); }
+    // Returns the index of the ID's text, or noIndex for an empty ID.
+    int64_t add(const upstream_id &id) { return id.isEmpty() ? noIndex : add(toString(id)); }
     const Poco::JSON::Array &texts() const { return m_texts; }
 
-    static constexpr int64_t noText = -1;
+    static constexpr int64_t noIndex = -1;
 
 private:
-    std::map<std::string, int64_t> m_positions;
+    std::map<std::string, int64_t> m_indexes;
     Poco::JSON::Array m_texts;
 };
 
-// Fields of one range, all of them whole numbers.
-enum range_field { LastField, OwnerField, FenceField, HandoverField, AfterField, PreviousField };
-constexpr size_t rangeFields = 6;
+// Fields of an encoded range in their order; each is an integer.
+enum range_field {
+    LastKeyField,
+    OwnerField,
+    FenceField,
+    HandoverField,
+    TakeOverAfterField,
+    PreviousOwnerField
+};
+constexpr size_t rangeFieldCount = 6;
 
-std::string encodeRange(const owned_range &range, text_table &table)
+std::string encodeRange(const owned_range &range, string_table &table)
 {
     const int64_t handover =
-        range.handover.empty() ? text_table::noText : table.add(range.handover);
+        range.handover.empty() ? string_table::noIndex : table.add(range.handover);
     return absl::StrCat(range.keys.last, ",", table.add(range.owner), ",", range.fence, ",",
                         handover, ",", range.takeOverAfter.count(), ",",
                         table.add(range.previousOwner));
 }
 
-absl::StatusOr<std::string> textAt(const std::vector<std::string> &texts, int64_t position)
+// Returns the text at the index, or an empty one for noIndex.
+absl::StatusOr<std::string> textAt(const std::vector<std::string> &texts, int64_t index)
 {
-    if (position == text_table::noText) {
+    if (index == string_table::noIndex) {
         return std::string();
     }
-    if (position < 0 || position >= static_cast<int64_t>(texts.size())) {
-        return absl::InvalidArgumentError("a range names no text");
+    if (index < 0 || index >= static_cast<int64_t>(texts.size())) {
+        return absl::InvalidArgumentError("range refers to an entry that \"texts\" does not have");
     }
-    return texts[static_cast<size_t>(position)];
+    return texts[static_cast<size_t>(index)];
 }
 
-absl::StatusOr<upstream_id> upstreamAt(const std::vector<std::string> &texts, int64_t position)
+// Returns the upstream whose ID is the text at the index, or an empty ID for noIndex.
+absl::StatusOr<upstream_id> upstreamAt(const std::vector<std::string> &texts, int64_t index)
 {
-    const auto text = textAt(texts, position);
+    const auto text = textAt(texts, index);
     if (!text.ok()) {
         return text.status();
     }
@@ -148,41 +159,44 @@
     upstream_id id{text->substr(0, slash), 0};
     if (slash == std::string::npos || id.isEmpty()
         || !absl::SimpleAtoi(text->substr(slash + 1), &id.startedAt)) {
-        return absl::InvalidArgumentError("an owner is no upstream");
+        return absl::InvalidArgumentError(
+            "owner or previous owner of a range is not an upstream ID");
     }
     return id;
 }
 
+// Parses a range that begins at `first`.
 absl::StatusOr<owned_range> parseRange(absl::string_view text, shard_key first,
                                        const std::vector<std::string> &texts)
 {
-    std::array<int64_t, rangeFields> fields{};
+    std::array<int64_t, rangeFieldCount> fields{};
     const std::vector<absl::string_view> parts = absl::StrSplit(text, ',');
-    if (parts.size() != rangeFields) {
-        return absl::InvalidArgumentError("a range has too few or too many fields");
+    if (parts.size() != rangeFieldCount) {
+        return absl::InvalidArgumentError("range has too few or too many fields");
     }
-    for (size_t i = 0; i < rangeFields; ++i) {
+    for (size_t i = 0; i < rangeFieldCount; ++i) {
         if (!absl::SimpleAtoi(parts[i], &fields[i])) {
-            return absl::InvalidArgumentError("a field of a range is no number");
+            return absl::InvalidArgumentError("range has a field that is not an integer");
         }
     }
-    if (fields[LastField] < first || fields[LastField] > lastKey || fields[FenceField] < 0
-        || fields[AfterField] < 0) {
-        return absl::InvalidArgumentError("a range does not follow the one before");
+    if (fields[LastKeyField] < first || fields[LastKeyField] > lastKey || fields[FenceField] < 0
+        || fields[TakeOverAfterField] < 0) {
+        return absl::InvalidArgumentError(
+            "range ends before it begins or above the last key, or has a negative fence or delay");
     }
     const auto owner = upstreamAt(texts, fields[OwnerField]);
     const auto handover = textAt(texts, fields[HandoverField]);
-    const auto previous = upstreamAt(texts, fields[PreviousField]);
+    const auto previous = upstreamAt(texts, fields[PreviousOwnerField]);
     for (const absl::Status &status : {owner.status(), handover.status(), previous.status()}) {
         if (!status.ok()) {
             return status;
         }
     }
-    return owned_range{{first, static_cast<shard_key>(fields[LastField])},
+    return owned_range{{first, static_cast<shard_key>(fields[LastKeyField])},
                        *owner,
                        static_cast<uint64_t>(fields[FenceField]),
                        *handover,
-                       milliseconds(fields[AfterField]),
+                       milliseconds(fields[TakeOverAfterField]),
                        *previous};
 }
 
@@ -206,8 +220,9 @@
         first = range->keys.last + 1;
         placement.ranges.push_back(std::move(*range));
     }
-    if (placement.service.empty() || !isWhole(placement)) {
-        return absl::InvalidArgumentError("ranges do not cover the keys in order");
+    if (placement.service.empty() || !isValid(placement)) {
+        return absl::InvalidArgumentError(
+            "service name is empty, ranges do not cover the keys in order, or a fence is too high");
     }
     return placement;
 }
@@ -216,7 +231,7 @@
 
 std::string encodePlacement(const key_placement &placement)
 {
-    text_table table;
+    string_table table;
     std::string ranges;
     for (const owned_range &range : placement.ranges) {
         absl::StrAppend(&ranges, ranges.empty() ? "" : ";", encodeRange(range, table));
--- a/src/persimmonrail/keyspace/key_placement.h
+++ b/src/persimmonrail/keyspace/key_placement.h
@@ -11,10 +11,11 @@
 
 namespace persimmonrail {
 
-// Keys are numbers from 0 to lastKey.
+// Key of a request, from 0 to lastKey.
 using shard_key = uint32_t;
 inline constexpr shard_key lastKey = 65535;
 
+// Interval of keys; `first` and `last` both belong to it.
 struct key_interval
 {
     shard_key first = 0;
@@ -25,54 +26,61 @@
     bool contains(shard_key key) const { return first <= key && key <= last; }
 };
 
-// One interval and its recorded owner.
+// Interval of keys with its recorded owner.
 struct owned_range
 {
     key_interval keys;
-    // Empty while nobody owns the keys.
+    // Empty if the keys have no owner.
     upstream_id owner;
-    // Increases with each change of the owner, over all ranges of the service.
+    // Fencing token. Each change of an owner uses a higher token than all earlier changes of the
+    // service.
     uint64_t fence = 0;
-    // Given by the previous owner at its release; empty if it gave none.
+    // State transfer token that the previous owner returned when it released the keys; empty if it
+    // returned none.
     std::string handover;
-    // Set while a previous owner may still hold the keys. The owner waits this long after it has
-    // seen the record, clears the field by a conditional write, and only then takes the keys.
+    // Not 0 while a previous owner may still hold the keys. The new owner's daemon waits for this
+    // time after it first reads the record, clears the field with a conditional write and only then
+    // grants the keys.
     milliseconds takeOverAfter{0};
-    // The owner before a takeover that is not cleared yet; it may take the keys back until then.
+    // Owner before a pending takeover. It may reclaim the keys until the takeover is activated.
     upstream_id previousOwner;
 
     bool operator==(const owned_range &) const = default;
 };
 
-// The recorded owners of all keys of one service; one object of the store, changed only by
-// conditional writes.
+// Recorded owners of all keys of one service. The store keeps a placement as one object, which is
+// changed only by conditional writes.
 //
-// Invariant: the ranges are in order, without gaps or overlaps, from 0 to lastKey.
+// Invariant: the ranges are in order and cover the keys from 0 to lastKey without gaps or overlaps;
+// no fence exceeds highestFence.
 struct key_placement
 {
     std::string service;
-    // Highest fence given out so far.
+    // Highest fence assigned so far.
     uint64_t highestFence = 0;
     std::vector<owned_range> ranges;
 
     bool operator==(const key_placement &) const = default;
-    // The range that holds the key.
+    // Returns the range that contains the key.
     const owned_range &rangeOf(shard_key key) const;
-    // Splits ranges so that one of them is exactly `keys`, and returns it.
-    owned_range &carve(key_interval keys);
-    // Joins neighbours of the same owner, fence and handover.
-    void join();
+    // Splits ranges so that one of them is exactly `keys`, and returns that range. Fields other
+    // than the keys come from the first range that overlaps `keys`; the caller sets them.
+    owned_range &isolateRange(key_interval keys);
+    // Merges adjacent ranges that differ in nothing but their keys.
+    void mergeAdjacentRanges();
 };
 
-// A placement in which nobody owns a key.
+// Returns a placement in which no key has an owner.
 key_placement emptyPlacement(std::string service);
-// Whether the invariant holds.
-bool isWhole(const key_placement &placement);
+// Returns whether the invariant of key_placement holds.
+bool isValid(const key_placement &placement);
 
-// JSON in which the ranges are one text of numbers: every daemon reads every change, and a list of
-// JSON objects takes many times as long to read.
+// Encodes a placement as JSON. The ranges are one string of numbers, since every daemon reads every
+// change and a list of JSON objects takes many times as long to parse.
 std::string encodePlacement(const key_placement &placement);
-// Errors: InvalidArgument, also if the invariant does not hold.
+// Decodes the JSON of encodePlacement().
+//
+// Errors: InvalidArgument if the JSON is malformed or violates the invariant of key_placement.
 absl::StatusOr<key_placement> parsePlacement(std::string_view json);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/keyspace/range_lease_manager.cpp
+++ b/src/persimmonrail/keyspace/range_lease_manager.cpp
@@ -6,20 +6,20 @@
 
 namespace {
 
-// A grant may take this long from the moment at which it is sent to its arrival.
-constexpr milliseconds grantTransit{300};
+// Longest time between the sending of a grant and its arrival at the upstream.
+constexpr milliseconds maxGrantTransit{300};
 
 } // namespace
 
 milliseconds range_lease_timing::maxHold() const
 {
-    return holdTime + holdTime * driftPercent / 100;
+    return holdTime + holdTime * maxDriftPercent / 100;
 }
 
 milliseconds range_lease_timing::takeOverAfter() const
 {
-    // A grant may be sent at the last moment of the confirmation life and take a while to arrive.
-    return confirmationLife + maxHold() + grantTransit;
+    // A grant may be sent just before the lease expires and then takes time to arrive.
+    return leaseDuration + maxHold() + maxGrantTransit;
 }
 
 range_lease_manager::range_lease_manager(range_lease_timing timing)
@@ -31,17 +31,17 @@
 {
     m_placement = placement;
     onConfirmed(confirmedAt);
-    std::vector<std::pair<uint64_t, boot_time>> seen;
+    std::vector<std::pair<uint64_t, boot_time>> pending;
     for (const owned_range &range : m_placement.ranges) {
         if (range.takeOverAfter.count() == 0 || !isOwn(range)) {
             continue;
         }
         const auto known =
-            std::find_if(m_takeoversSeen.begin(), m_takeoversSeen.end(),
+            std::find_if(m_pendingTakeovers.begin(), m_pendingTakeovers.end(),
                          [&](const auto &entry) { return entry.first == range.fence; });
-        seen.emplace_back(range.fence, known == m_takeoversSeen.end() ? now : known->second);
+        pending.emplace_back(range.fence, known == m_pendingTakeovers.end() ? now : known->second);
     }
-    m_takeoversSeen = std::move(seen);
+    m_pendingTakeovers = std::move(pending);
 }
 
 void range_lease_manager::onConfirmed(boot_time confirmedAt)
@@ -52,7 +52,7 @@
 void range_lease_manager::setUpstream(const std::optional<upstream_id> &upstream)
 {
     if (m_upstream != upstream) {
-        // Another life holds nothing of what its predecessor was granted.
+        // A new incarnation holds none of the grants of the previous one.
         if (!upstream || !m_upstream || upstream->name != m_upstream->name
             || upstream->startedAt != m_upstream->startedAt) {
             m_held.clear();
@@ -73,26 +73,26 @@
     });
 }
 
-std::vector<key_interval> range_lease_manager::keptOf(key_interval keys) const
+std::vector<key_interval> range_lease_manager::excludeMoving(key_interval keys) const
 {
-    std::vector<key_interval> kept{keys};
+    std::vector<key_interval> remaining{keys};
     for (const key_interval &moved : m_moving) {
-        std::vector<key_interval> left;
-        for (const key_interval &part : kept) {
+        std::vector<key_interval> uncovered;
+        for (const key_interval &part : remaining) {
             if (moved.last < part.first || part.last < moved.first) {
-                left.push_back(part);
+                uncovered.push_back(part);
                 continue;
             }
             if (part.first < moved.first) {
-                left.push_back({part.first, moved.first - 1});
+                uncovered.push_back({part.first, moved.first - 1});
             }
             if (moved.last < part.last) {
-                left.push_back({moved.last + 1, part.last});
+                uncovered.push_back({moved.last + 1, part.last});
             }
         }
-        kept = std::move(left);
+        remaining = std::move(uncovered);
     }
-    return kept;
+    return remaining;
 }
 
 std::vector<range_grant> range_lease_manager::heldWithin(key_interval keys) const
@@ -120,14 +120,14 @@
 
 bool range_lease_manager::hasLease(boot_time now) const
 {
-    return now - m_confirmedAt < m_timing.confirmationLife;
+    return now - m_confirmedAt < m_timing.leaseDuration;
 }
 
 milliseconds range_lease_manager::maxSafeHold(boot_time now) const
 {
-    const auto left = std::chrono::duration_cast<milliseconds>(
-        m_confirmedAt + m_timing.takeOverAfter() - grantTransit - now);
-    return left * 100 / (100 + m_timing.driftPercent);
+    const auto untilTakeover = std::chrono::duration_cast<milliseconds>(
+        m_confirmedAt + m_timing.takeOverAfter() - maxGrantTransit - now);
+    return untilTakeover * 100 / (100 + m_timing.maxDriftPercent);
 }
 
 std::vector<range_grant> range_lease_manager::dueGrants(boot_time now) const
@@ -140,10 +140,10 @@
         if (!isOwn(range) || range.takeOverAfter.count() > 0) {
             continue;
         }
-        for (const key_interval &keys : keptOf(range.keys)) {
+        for (const key_interval &keys : excludeMoving(range.keys)) {
             const held_grant *held = findHeld(keys, range.fence);
             if (held == nullptr || held->grant.keys != keys
-                || now - held->sentAt >= m_timing.renewInterval) {
+                || now - held->sentAt >= m_timing.renewalInterval) {
                 due.push_back({keys, range.fence, range.handover});
             }
         }
@@ -174,9 +174,10 @@
                                              boot_time sentAt)
 {
     std::erase_if(m_unconfirmed,
-                  [sentAt](const unconfirmed_grant &known) { return known.end <= sentAt; });
-    const boot_time end = sentAt + grantTransit + holdTime + holdTime * m_timing.driftPercent / 100;
-    m_unconfirmed.push_back({grant.keys, end});
+                  [sentAt](const unconfirmed_grant &known) { return known.endsAt <= sentAt; });
+    const boot_time endsAt =
+        sentAt + maxGrantTransit + holdTime + holdTime * m_timing.maxDriftPercent / 100;
+    m_unconfirmed.push_back({grant.keys, endsAt});
 }
 
 void range_lease_manager::noteStart(boot_time startedAt)
@@ -188,7 +189,7 @@
 {
     return std::none_of(m_unconfirmed.begin(), m_unconfirmed.end(),
                         [&](const unconfirmed_grant &known) {
-                            return now < known.end && known.keys.first <= keys.last
+                            return now < known.endsAt && known.keys.first <= keys.last
                                 && keys.first <= known.keys.last;
                         });
 }
@@ -204,13 +205,13 @@
 {
     std::vector<range_grant> due;
     for (const held_grant &held : m_held) {
-        const bool recorded = std::any_of(m_placement.ranges.begin(), m_placement.ranges.end(),
-                                          [&](const owned_range &range) {
-                                              return isOwn(range) && range.fence >= held.grant.fence
-                                                  && range.keys.first <= held.grant.keys.last
-                                                  && held.grant.keys.first <= range.keys.last;
-                                          });
-        if (!recorded) {
+        const bool isRecorded = std::any_of(
+            m_placement.ranges.begin(), m_placement.ranges.end(), [&](const owned_range &range) {
+                return isOwn(range) && range.fence >= held.grant.fence
+                    && range.keys.first <= held.grant.keys.last
+                    && held.grant.keys.first <= range.keys.last;
+            });
+        if (!isRecorded) {
             due.push_back(held.grant);
         }
     }
@@ -219,35 +220,36 @@
 
 void range_lease_manager::onReleased(key_interval keys, uint64_t fence)
 {
-    std::vector<held_grant> left;
+    std::vector<held_grant> remaining;
     for (const held_grant &held : m_held) {
         const key_interval own = held.grant.keys;
         if (held.grant.fence > fence || own.last < keys.first || keys.last < own.first) {
-            left.push_back(held);
+            remaining.push_back(held);
             continue;
         }
-        // What was not released stays in force.
+        // The keys outside the released interval stay granted.
         if (own.first < keys.first) {
-            left.push_back(held);
-            left.back().grant.keys.last = keys.first - 1;
+            remaining.push_back(held);
+            remaining.back().grant.keys.last = keys.first - 1;
         }
         if (keys.last < own.last) {
-            left.push_back(held);
-            left.back().grant.keys.first = keys.last + 1;
+            remaining.push_back(held);
+            remaining.back().grant.keys.first = keys.last + 1;
         }
     }
-    m_held = std::move(left);
+    m_held = std::move(remaining);
 }
 
 bool range_lease_manager::isTakeoverDue(boot_time now) const
 {
     return std::any_of(
         m_placement.ranges.begin(), m_placement.ranges.end(), [&](const owned_range &range) {
-            const auto seen =
-                std::find_if(m_takeoversSeen.begin(), m_takeoversSeen.end(),
+            const auto pending =
+                std::find_if(m_pendingTakeovers.begin(), m_pendingTakeovers.end(),
                              [&](const auto &entry) { return entry.first == range.fence; });
-            return isOwn(range) && range.takeOverAfter.count() > 0 && seen != m_takeoversSeen.end()
-                && now - seen->second >= range.takeOverAfter;
+            return isOwn(range) && range.takeOverAfter.count() > 0
+                && pending != m_pendingTakeovers.end()
+                && now - pending->second >= range.takeOverAfter;
         });
 }
 
@@ -263,7 +265,7 @@
     });
 }
 
-std::vector<key_interval> range_lease_manager::served(boot_time now) const
+std::vector<key_interval> range_lease_manager::servedIntervals(boot_time now) const
 {
     std::vector<key_interval> intervals;
     for (const held_grant &held : m_held) {
@@ -274,14 +276,14 @@
     return intervals;
 }
 
-std::optional<boot_time> range_lease_manager::lastHoldEnd() const
+std::optional<boot_time> range_lease_manager::lastGrantEnd() const
 {
-    std::optional<boot_time> end;
+    std::optional<boot_time> lastEnd;
     for (const held_grant &held : m_held) {
-        const boot_time heldUntil = held.sentAt + m_timing.maxHold();
-        end = end ? std::max(*end, heldUntil) : heldUntil;
+        const boot_time endsAt = held.sentAt + m_timing.maxHold();
+        lastEnd = lastEnd ? std::max(*lastEnd, endsAt) : endsAt;
     }
-    return end;
+    return lastEnd;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/keyspace/range_lease_manager.h
+++ b/src/persimmonrail/keyspace/range_lease_manager.h
@@ -8,31 +8,34 @@
 
 namespace persimmonrail {
 
-// Time since the host started, which goes on while the process or the host is suspended.
+// Time since the host started. Includes the time for which the process or the host was suspended.
 using boot_time = std::chrono::nanoseconds;
 
+// Durations of leases and grants.
 struct range_lease_timing
 {
-    // Longest time for which a daemon renews grants after the last moment at which the store is
-    // known to have shown them. Carries the keys through an outage of the store.
-    milliseconds confirmationLife{7000};
-    // How long a grant is in force at the upstream after its arrival. Carries the keys through a
-    // restart of the daemon beside it; platforms bound it.
+    // Duration of the lease: a daemon renews grants for this time after the last moment at which
+    // the store is known to have recorded the upstream as owner. Lets the owner keep its keys
+    // during an outage of the store.
+    milliseconds leaseDuration{7000};
+    // Time for which a grant is in force at the upstream after its arrival. Lets the upstream keep
+    // its keys while its daemon restarts. The platform limits this time.
     milliseconds holdTime{3000};
-    // Clock error of the upstream over a hold time, in percent.
-    int driftPercent = 2;
-    // Time between two renewals.
-    milliseconds renewInterval{750};
-    // Work is not started when less than this is left of the hold time.
+    // Greatest clock error of the upstream over a hold time, in percent.
+    int maxDriftPercent = 2;
+    // Interval between two renewals of a grant.
+    milliseconds renewalInterval{750};
+    // Requests are not dispatched if less than this time is left of the hold time.
     milliseconds dispatchMargin{30};
 
-    // Time after which an owner that lost the store, or was lost itself, certainly holds no key.
+    // Returns the time after the last confirmation by the store at which an owner that is lost or
+    // has lost the store certainly holds no key.
     milliseconds takeOverAfter() const;
-    // Longest time that one grant is in force, by any clock.
+    // Returns the longest time for which one grant is in force, with the clock error included.
     milliseconds maxHold() const;
 };
 
-// One call to the upstream.
+// Keys that one call grants to the upstream.
 struct range_grant
 {
     key_interval keys;
@@ -42,66 +45,77 @@
     bool operator==(const range_grant &) const = default;
 };
 
-// Ranges that one daemon grants to the upstream beside it: which to grant and renew, and which it
-// may serve. No clock, no I/O. Not thread safe.
+// Decides which key ranges a daemon grants to the local upstream, which grants it renews or
+// releases, and which keys the upstream may serve. Reads no clock and does no I/O.
 //
-// Invariant: grants are renewed only while the store is known to have named the upstream as owner
-// within the confirmation life.
+// Invariant: grants are made and renewed only within the lease duration after the store is known to
+// have recorded the local upstream as owner.
+//
+// Not thread safe.
 class range_lease_manager
 {
 public:
     explicit range_lease_manager(range_lease_timing timing = {});
 
-    // `confirmedAt` is a moment at which the store certainly held this placement.
+    // Replaces the placement and renews the lease. `confirmedAt` is a moment at which the store
+    // certainly contained this placement.
     void onPlacement(const key_placement &placement, boot_time confirmedAt, boot_time now);
-    // The store still held the known placement at this moment.
+    // Renews the lease: the store still contained the known placement at `confirmedAt`.
     void onConfirmed(boot_time confirmedAt);
-    // An earlier run of this daemon may have sent grants until `startedAt` of which it got no
-    // answer.
+    // Records the start of this daemon. Its previous incarnation may have sent grants until
+    // `startedAt` that the upstream did not answer.
     void noteStart(boot_time startedAt);
-    // The upstream beside this daemon, or nothing while there is none that may hold keys.
+    // Sets the local upstream; `upstream` is empty if no local upstream may hold keys. Grants of
+    // another incarnation are forgotten.
     void setUpstream(const std::optional<upstream_id> &upstream);
 
-    // Longest hold time for a grant sent at `now`, so that it ends before any takeover; used before
-    // a stop, to keep the keys over a restart. Not positive if the lease has ended.
+    // Returns the longest hold time for a grant sent at `now` that ends before any takeover. The
+    // daemon sends such grants before it stops, so that the upstream keeps its keys during a
+    // restart. The result is 0 or negative if no grant is safe any more.
     milliseconds maxSafeHold(boot_time now) const;
-    // Grants that are due to be made or renewed at `now`.
+    // Returns the grants to be made or renewed at `now`.
     std::vector<range_grant> dueGrants(boot_time now) const;
-    // Whether a grant that was due may still be sent at `now`: since then its keys may have been
-    // chosen to be given away, recorded for another owner, or the lease may have ended.
+    // Returns whether a grant of dueGrants() may still be sent at `now`. In the meantime its keys
+    // may have been selected for a move or recorded for another owner, or the lease may have
+    // expired.
     bool maySend(const range_grant &grant, boot_time now) const;
-    // `sentAt` is when the call was sent, so the hold ends no earlier than computed from it.
+    // Records that the upstream accepted a grant. `sentAt` is the time at which the call was sent,
+    // so the grant ends no earlier at the upstream than the hold time after `sentAt`.
     void onGranted(const range_grant &grant, boot_time sentAt);
-    // A grant was sent and not answered: the upstream may carry it out at any later time, also
-    // after a release. Its hold counts from its arrival, so it is harmless once that has ended.
+    // Records that a grant was sent but not answered. The upstream may apply it later, even after a
+    // release. The hold time counts from the arrival of the grant, so the grant is harmless once
+    // the hold time after its latest arrival has passed.
     void onGrantUnconfirmed(const range_grant &grant, milliseconds holdTime, boot_time sentAt);
-    // Whether no such grant of these keys can still come into force, so that they may be released
-    // and given away.
+    // Returns whether the keys may be released and moved: no unanswered grant of any of them can
+    // still take effect.
     bool canMove(key_interval keys, boot_time now) const;
-    // The upstream refused the grant: it knows a higher fence, or has no such life any more.
+    // Records that the upstream rejected a grant, since it knows a higher fence or runs as another
+    // incarnation.
     void onGrantRefused(const range_grant &grant);
-    // Grants that are in force but not recorded for this upstream any more.
+    // Returns the grants whose keys are no longer recorded for the local upstream.
     std::vector<range_grant> dueReleases() const;
-    // The upstream holds the keys no more.
+    // Records that the upstream released its grants of `keys` whose fence is at most `fence`.
     void onReleased(key_interval keys, uint64_t fence);
 
-    // Stops serving and renewing the intervals, which are to be given away; empty resumes both.
+    // Sets the intervals that are about to be moved. Their keys are neither served nor renewed; an
+    // empty list resumes both.
     void setMoving(std::vector<key_interval> keys) { m_moving = std::move(keys); }
     const std::vector<key_interval> &moving() const { return m_moving; }
-    // Grants in force that overlap the interval, cut to it.
+    // Returns the grants that overlap the interval, each clipped to it and without handover token.
     std::vector<range_grant> heldWithin(key_interval keys) const;
 
-    // Whether takeovers recorded for this upstream may be cleared.
+    // Returns whether a takeover recorded for the local upstream may be activated.
     bool isTakeoverDue(boot_time now) const;
+    // Returns whether the last confirmation by the store is younger than the lease duration.
     bool hasLease(boot_time now) const;
-    // Whether a request for the key may be handed to the upstream.
+    // Returns whether a request for the key may be dispatched to the upstream.
     bool mayServe(shard_key key, boot_time now) const;
-    // Own intervals that are in force.
-    std::vector<key_interval> served(boot_time now) const;
-    // Fences and intervals in force, for reports.
+    // Returns the intervals whose grants are in force.
+    std::vector<key_interval> servedIntervals(boot_time now) const;
+    // Returns the last placement of onPlacement(), for reports.
     const key_placement &placement() const { return m_placement; }
-    // When the last grant in force has certainly ended; nothing if none is in force.
-    std::optional<boot_time> lastHoldEnd() const;
+    // Returns the time at which the last grant has certainly ended, or nothing if there is none.
+    std::optional<boot_time> lastGrantEnd() const;
 
 private:
     struct held_grant
@@ -112,20 +126,24 @@
     struct unconfirmed_grant
     {
         key_interval keys;
-        // When its hold has ended by any clock, whenever it is carried out.
-        boot_time end{};
+        // Time at which the grant has ended at the latest, with the clock error included.
+        boot_time endsAt{};
     };
+    // Returns whether the local upstream is the recorded owner of the range.
     bool isOwn(const owned_range &range) const;
+    // Returns whether any of the keys is about to be moved.
     bool isMoving(key_interval keys) const;
-    // The parts of an interval that are not to be given away.
-    std::vector<key_interval> keptOf(key_interval keys) const;
+    // Returns the parts of an interval that are not about to be moved.
+    std::vector<key_interval> excludeMoving(key_interval keys) const;
+    // Returns the grant with this fence that contains all of `keys`; null if there is none.
     const held_grant *findHeld(key_interval keys, uint64_t fence) const;
 
     const range_lease_timing m_timing;
     key_placement m_placement;
+    // Latest time at which the store certainly contained m_placement.
     boot_time m_confirmedAt{};
-    // When each takeover, by fence, was first seen.
-    std::vector<std::pair<uint64_t, boot_time>> m_takeoversSeen;
+    // Fence of each pending takeover and the time at which the takeover was first read.
+    std::vector<std::pair<uint64_t, boot_time>> m_pendingTakeovers;
     std::optional<upstream_id> m_upstream;
     std::vector<held_grant> m_held;
     std::vector<unconfirmed_grant> m_unconfirmed;
--- a/src/persimmonrail/keyspace/range_plan.cpp
+++ b/src/persimmonrail/keyspace/range_plan.cpp
@@ -10,9 +10,11 @@
 namespace persimmonrail {
 namespace {
 
-// Deals an interval out in contiguous parts whose sizes follow the slots.
+// Splits an interval into contiguous parts, one for each candidate in proportion to its slots, and
+// passes them to `assign`. Candidates whose part would be empty are skipped.
 template <typename Assign>
-void deal(key_interval keys, const std::vector<range_candidate> &candidates, const Assign &assign)
+void distribute(key_interval keys, const std::vector<range_candidate> &candidates,
+                const Assign &assign)
 {
     int64_t slots = 0;
     for (const range_candidate &candidate : candidates) {
@@ -32,13 +34,14 @@
     }
 }
 
-// Lists the intervals of ranges for which `wanted` holds, neighbours joined.
+// Returns the intervals of the ranges for which `predicate` returns true. Adjacent intervals are
+// merged.
 template <typename Predicate>
-std::vector<key_interval> intervalsOf(const key_placement &placement, const Predicate &wanted)
+std::vector<key_interval> findIntervals(const key_placement &placement, const Predicate &predicate)
 {
     std::vector<key_interval> intervals;
     for (const owned_range &range : placement.ranges) {
-        if (!wanted(range)) {
+        if (!predicate(range)) {
             continue;
         }
         if (!intervals.empty() && intervals.back().last + 1 == range.keys.first) {
@@ -66,13 +69,13 @@
     std::sort(candidates.begin(), candidates.end(),
               [](const auto &a, const auto &b) { return a.id < b.id; });
     const auto unowned =
-        intervalsOf(placement, [](const owned_range &range) { return range.owner.isEmpty(); });
+        findIntervals(placement, [](const owned_range &range) { return range.owner.isEmpty(); });
     for (const key_interval &interval : unowned) {
-        deal(interval, candidates, [&](key_interval part, const upstream_id &owner) {
-            setOwner(placement.carve(part), owner, ++placement.highestFence);
+        distribute(interval, candidates, [&](key_interval part, const upstream_id &owner) {
+            setOwner(placement.isolateRange(part), owner, ++placement.highestFence);
         });
     }
-    placement.join();
+    placement.mergeAdjacentRanges();
     return placement;
 }
 
@@ -91,35 +94,35 @@
             lost.push_back(range);
         }
     }
-    size_t turn = 0;
+    size_t nextCandidate = 0;
     for (const owned_range &range : lost) {
-        // Small ranges are not cut into pieces; they go to the candidates in turn.
-        const bool whole = range.keys.count() < 16 * candidates.size();
-        const std::vector<range_candidate> takers = whole
-            ? std::vector<range_candidate>{candidates[turn++ % candidates.size()]}
+        // Small ranges are not split. They are assigned to the candidates in rotation.
+        const bool isSmall = range.keys.count() < 16 * candidates.size();
+        const std::vector<range_candidate> newOwners = isSmall
+            ? std::vector<range_candidate>{candidates[nextCandidate++ % candidates.size()]}
             : candidates;
-        // Keys under a takeover that is not cleared may still be held by the owner before that.
-        const bool pending = range.takeOverAfter.count() > 0;
-        deal(range.keys, takers, [&](key_interval part, const upstream_id &owner) {
-            owned_range &taken = placement.carve(part);
-            setOwner(taken, owner, ++placement.highestFence);
-            taken.takeOverAfter = std::max(takeOverAfter, range.takeOverAfter);
-            if (taken.takeOverAfter.count() > 0) {
-                taken.previousOwner = pending ? range.previousOwner : range.owner;
+        // During a pending takeover the previous owner may still hold the keys.
+        const bool isTakeoverPending = range.takeOverAfter.count() > 0;
+        distribute(range.keys, newOwners, [&](key_interval part, const upstream_id &owner) {
+            owned_range &reassigned = placement.isolateRange(part);
+            setOwner(reassigned, owner, ++placement.highestFence);
+            reassigned.takeOverAfter = std::max(takeOverAfter, range.takeOverAfter);
+            if (reassigned.takeOverAfter.count() > 0) {
+                reassigned.previousOwner = isTakeoverPending ? range.previousOwner : range.owner;
             }
         });
     }
-    placement.join();
+    placement.mergeAdjacentRanges();
     return placement;
 }
 
 key_placement moveRange(key_placement placement, key_interval keys, const upstream_id &target,
                         const std::string &handover)
 {
-    owned_range &moved = placement.carve(keys);
+    owned_range &moved = placement.isolateRange(keys);
     setOwner(moved, target, ++placement.highestFence);
     moved.handover = handover;
-    placement.join();
+    placement.mergeAdjacentRanges();
     return placement;
 }
 
@@ -131,7 +134,7 @@
             range.previousOwner = {};
         }
     }
-    placement.join();
+    placement.mergeAdjacentRanges();
     return placement;
 }
 
@@ -144,7 +147,7 @@
             setOwner(range, previous, fence);
         }
     }
-    placement.join();
+    placement.mergeAdjacentRanges();
     return placement;
 }
 
@@ -159,63 +162,69 @@
 
 namespace {
 
-// Evenly used keys of a large owner need a smaller move than the loads ask for; with this many
-// halvings the least share is a sixteenth.
-constexpr int maxHalvings = 4;
-// A key that alone carries more than this multiple of what is wanted stays: moving it only moves
-// the overload.
-constexpr double maxExcess = 1.6;
-constexpr int levelSteps = 30;
-// Loads that differ by less count as the same when targets are put in order.
-constexpr double loadStep = 0.2;
+// Number of wanted rates that are tried for one move, each half of the one before. If the keys of a
+// large owner are evenly used, a window for the full rate has more keys than one move may contain.
+// With this limit the smallest share is a sixteenth.
+constexpr int maxWindowAttempts = 4;
+// A key with more than this multiple of the wanted rate stays with its owner, since its move would
+// only move the overload.
+constexpr double maxRateExcess = 1.6;
+constexpr int bisectionSteps = 30;
+// Targets are sorted by utilization in steps of this size. Targets in the same step count as
+// equally loaded.
+constexpr double utilizationStep = 0.2;
 
+// Interval of keys and the sum of their requests per second.
 struct rated_window
 {
     key_interval keys;
     double rate = 0;
 };
 
-// What a target can take of an owner's load.
-struct target_room
+// Capacity of a peer for the load of an owner.
+struct move_target
 {
     upstream_id id;
     double utilization = 0;
-    // Requests per second of the owner that raise the target's utilization by 1.
-    double ratePerLoad = 0;
+    // Requests per second of the owner's keys that raise the target's utilization by 1.
+    double ratePerUtilization = 0;
 };
 
-// Returns the shortest window within `interval` that carries at least `wanted` and has no key that
-// is too busy to move.
-std::optional<rated_window>
-shortestWindow(key_interval interval, const std::function<double(shard_key)> &rate, double wanted)
+// Returns the shortest window within `interval` that carries at least `wantedRate` and has no key
+// above maxRateExcess times `wantedRate`; nothing if there is no such window.
+std::optional<rated_window> findShortestWindow(key_interval interval,
+                                               const std::function<double(shard_key)> &rate,
+                                               double wantedRate)
 {
     std::optional<rated_window> best;
     shard_key first = interval.first;
     double sum = 0;
     for (shard_key key = interval.first; key <= interval.last; ++key) {
-        if (rate(key) > wanted * maxExcess) {
+        if (rate(key) > wantedRate * maxRateExcess) {
             first = key + 1;
             sum = 0;
             continue;
         }
         sum += rate(key);
-        while (first < key && sum - rate(first) >= wanted) {
+        while (first < key && sum - rate(first) >= wantedRate) {
             sum -= rate(first++);
         }
         const key_interval window{first, key};
-        if (sum >= wanted && (!best || window.count() < best->keys.count())) {
+        if (sum >= wantedRate && (!best || window.count() < best->keys.count())) {
             best = rated_window{window, sum};
         }
     }
     return best;
 }
 
-std::optional<rated_window> shortestOf(const std::vector<key_interval> &intervals,
-                                       const std::function<double(shard_key)> &rate, double wanted)
+// Returns the shortest of the windows that findShortestWindow() finds in each interval.
+std::optional<rated_window> findShortestWindowInAny(const std::vector<key_interval> &intervals,
+                                                    const std::function<double(shard_key)> &rate,
+                                                    double wantedRate)
 {
     std::optional<rated_window> best;
     for (const key_interval &interval : intervals) {
-        const auto window = shortestWindow(interval, rate, wanted);
+        const auto window = findShortestWindow(interval, rate, wantedRate);
         if (window && (!best || window->keys.count() < best->keys.count())) {
             best = window;
         }
@@ -223,104 +232,111 @@
     return best;
 }
 
-// Chooses a window that carries about `wanted` and has no more keys than one move may take.
+// Returns a window that carries about `wantedRate`, or a half, a quarter or an eighth of it, and
+// has at most `maxKeys` keys; nothing if there is none.
 std::optional<rated_window> chooseWindow(const std::vector<key_interval> &intervals,
                                          const std::function<double(shard_key)> &rate,
-                                         double wanted, double maxKeys)
+                                         double wantedRate, double maxKeys)
 {
-    for (int halvings = 0; halvings < maxHalvings; ++halvings, wanted /= 2) {
-        const auto window = shortestOf(intervals, rate, wanted);
-        if (window && window->rate <= wanted * maxExcess && window->keys.count() <= maxKeys) {
+    for (int attempt = 0; attempt < maxWindowAttempts; ++attempt, wantedRate /= 2) {
+        const auto window = findShortestWindowInAny(intervals, rate, wantedRate);
+        if (window && window->rate <= wantedRate * maxRateExcess
+            && window->keys.count() <= maxKeys) {
             return window;
         }
     }
     return std::nullopt;
 }
 
-void removeFrom(std::vector<key_interval> &intervals, key_interval taken)
+// Removes the keys of `removed` from the intervals.
+void subtract(std::vector<key_interval> &intervals, key_interval removed)
 {
-    std::vector<key_interval> left;
+    std::vector<key_interval> remaining;
     for (const key_interval &interval : intervals) {
-        if (taken.last < interval.first || interval.last < taken.first) {
-            left.push_back(interval);
+        if (removed.last < interval.first || interval.last < removed.first) {
+            remaining.push_back(interval);
             continue;
         }
-        if (interval.first < taken.first) {
-            left.push_back({interval.first, taken.first - 1});
+        if (interval.first < removed.first) {
+            remaining.push_back({interval.first, removed.first - 1});
         }
-        if (taken.last < interval.last) {
-            left.push_back({taken.last + 1, interval.last});
+        if (removed.last < interval.last) {
+            remaining.push_back({removed.last + 1, interval.last});
         }
     }
-    intervals = std::move(left);
+    intervals = std::move(remaining);
 }
 
-// The peers that are less loaded than the owner by the least difference, least loaded first.
-std::vector<target_room> findTargets(const owner_load &self, double ownRatePerLoad,
+// Returns the peers whose utilization is below the owner's by at least minUtilizationDifference,
+// the least loaded first and at most maxTargets.
+std::vector<move_target> findTargets(const owner_load &self, double ownRatePerUtilization,
                                      const std::vector<owner_load> &others,
                                      const move_options &options)
 {
-    std::vector<target_room> targets;
+    std::vector<move_target> targets;
     for (const owner_load &other : others) {
-        if (self.utilization - other.utilization < options.minDifference) {
+        if (self.utilization - other.utilization < options.minUtilizationDifference) {
             continue;
         }
         const bool isMeasured =
             other.meanServiceTime.count() > 0 && self.meanServiceTime.count() > 0;
-        const double speed = isMeasured ? static_cast<double>(self.meanServiceTime.count())
+        const double relativeSpeed = isMeasured ? static_cast<double>(self.meanServiceTime.count())
                 / static_cast<double>(other.meanServiceTime.count())
-                                        : 1;
-        const double slots =
+                                                : 1;
+        const double relativeSlots =
             static_cast<double>(std::max(other.slots, 1)) / std::max(self.slots, 1);
-        targets.push_back({other.id, other.utilization, ownRatePerLoad * slots * speed});
+        targets.push_back(
+            {other.id, other.utilization, ownRatePerUtilization * relativeSlots * relativeSpeed});
     }
-    // Each owner orders targets of about the same load differently, so that several owners that
-    // act at once do not choose the same ones.
-    const auto orderOf = [&self](const target_room &target) {
-        const size_t order = std::hash<std::string>()(self.id.name + target.id.name);
-        return std::pair(std::floor(target.utilization / loadStep), order);
+    // Each owner sorts equally loaded targets in a different order, so that owners that move keys
+    // at the same time choose different targets.
+    const auto orderOf = [&self](const move_target &target) {
+        const size_t tieBreaker = std::hash<std::string>()(self.id.name + target.id.name);
+        return std::pair(std::floor(target.utilization / utilizationStep), tieBreaker);
     };
     std::sort(
         targets.begin(), targets.end(),
-        [&orderOf](const target_room &a, const target_room &b) { return orderOf(a) < orderOf(b); });
+        [&orderOf](const move_target &a, const move_target &b) { return orderOf(a) < orderOf(b); });
     if (targets.size() > options.maxTargets) {
         targets.resize(options.maxTargets);
     }
     return targets;
 }
 
-// Requests per second of the keys that are asked for at most `busiest` times a second.
-double sumOf(const std::vector<key_interval> &intervals,
-             const std::function<double(shard_key)> &rate, double busiest)
+// Returns the requests per second of all keys that get at most `maxKeyRate` requests per second.
+double sumRates(const std::vector<key_interval> &intervals,
+                const std::function<double(shard_key)> &rate, double maxKeyRate)
 {
     double sum = 0;
     for (const key_interval &interval : intervals) {
         for (shard_key key = interval.first; key <= interval.last; ++key) {
-            const double own = rate(key);
-            sum += own <= busiest ? own : 0;
+            const double keyRate = rate(key);
+            sum += keyRate <= maxKeyRate ? keyRate : 0;
         }
     }
     return sum;
 }
 
-// The utilization at which what the owner gives is what the targets take. The owner gives no more
-// than `movable` requests per second.
-double findLevel(double utilization, double ownRatePerLoad, double movable,
-                 const std::vector<target_room> &targets, double intake)
+// Returns the utilization at which the rate that the owner moves equals the rate that the targets
+// accept. The owner moves at most `movableRate` requests per second.
+double findBalancedUtilization(double utilization, double ownRatePerUtilization, double movableRate,
+                               const std::vector<move_target> &targets, double capacityShare)
 {
     double low = utilization;
-    for (const target_room &target : targets) {
+    for (const move_target &target : targets) {
         low = std::min(low, target.utilization);
     }
     double high = utilization;
-    for (int step = 0; step < levelSteps; ++step) {
-        const double level = (low + high) / 2;
-        double taken = 0;
-        for (const target_room &target : targets) {
-            taken += std::max(0.0, level - target.utilization) * target.ratePerLoad * intake;
+    for (int step = 0; step < bisectionSteps; ++step) {
+        const double middle = (low + high) / 2;
+        double acceptedRate = 0;
+        for (const move_target &target : targets) {
+            acceptedRate += std::max(0.0, middle - target.utilization) * target.ratePerUtilization
+                * capacityShare;
         }
-        const double given = std::min((utilization - level) * ownRatePerLoad, movable);
-        (taken < given ? low : high) = level;
+        const double movedRate =
+            std::min((utilization - middle) * ownRatePerUtilization, movableRate);
+        (acceptedRate < movedRate ? low : high) = middle;
     }
     return high;
 }
@@ -335,28 +351,30 @@
     if (self.utilization < options.minUtilization) {
         return {};
     }
-    const double total = sumOf(own, rate, std::numeric_limits<double>::infinity());
-    const double ownRatePerLoad = total / self.utilization;
-    const auto targets = findTargets(self, ownRatePerLoad, others, options);
-    if (targets.empty() || total <= 0) {
+    const double totalRate = sumRates(own, rate, std::numeric_limits<double>::infinity());
+    const double ownRatePerUtilization = totalRate / self.utilization;
+    const auto targets = findTargets(self, ownRatePerUtilization, others, options);
+    if (targets.empty() || totalRate <= 0) {
         return {};
     }
-    // A key that is asked for more than a whole upstream serves keeps its owner busy whatever else
-    // moves, so all other keys may go.
-    const double movable = sumOf(own, rate, ownRatePerLoad);
-    const double level =
-        findLevel(self.utilization, ownRatePerLoad, movable, targets, options.intake);
+    // A key with more requests than a whole upstream can serve keeps its owner overloaded whichever
+    // other keys are moved, so all other keys may be moved.
+    const double movableRate = sumRates(own, rate, ownRatePerUtilization);
+    const double balanced = findBalancedUtilization(self.utilization, ownRatePerUtilization,
+                                                    movableRate, targets, options.capacityShare);
     std::vector<planned_move> moves;
-    std::vector<key_interval> left = own;
-    for (const target_room &target : targets) {
-        const double wanted = (level - target.utilization) * target.ratePerLoad * options.intake;
-        if (wanted < ownRatePerLoad * options.minShare) {
+    std::vector<key_interval> remaining = own;
+    for (const move_target &target : targets) {
+        const double wantedRate =
+            (balanced - target.utilization) * target.ratePerUtilization * options.capacityShare;
+        if (wantedRate < ownRatePerUtilization * options.minLoadShare) {
             continue;
         }
-        const auto window = chooseWindow(left, rate, wanted, options.maxKeys * (lastKey + 1));
+        const auto window =
+            chooseWindow(remaining, rate, wantedRate, options.maxKeyShare * (lastKey + 1));
         if (window) {
             moves.push_back({window->keys, target.id});
-            removeFrom(left, window->keys);
+            subtract(remaining, window->keys);
         }
     }
     return moves;
--- a/src/persimmonrail/keyspace/range_plan.h
+++ b/src/persimmonrail/keyspace/range_plan.h
@@ -9,35 +9,39 @@
 
 namespace persimmonrail {
 
-// An upstream that can own keys, with what decides how much it is given.
+// Upstream that can own keys. It gets keys in proportion to its slots.
 struct range_candidate
 {
     upstream_id id;
     int slots = 1;
 };
 
-// Gives the keys that nobody owns to the candidates, in equal parts per slot. `candidates` must
+// Assigns the keys without owner to the candidates, with equal shares per slot. `candidates` must
 // not be empty.
 key_placement assignUnowned(key_placement placement, std::vector<range_candidate> candidates);
 
-// Reassigns the keys of each owner for which `isLost` holds, as contiguous parts with equal shares
-// per slot. `takeOverAfter` is 0 if the lost owners certainly hold no keys any more. Candidates
-// that are lost themselves get nothing; without any other the placement stays as it is.
+// Reassigns the keys of each owner for which `isLost` returns true. Each range is split into
+// contiguous parts with equal shares per slot. `takeOverAfter` is 0 if the lost owners certainly
+// hold no keys any more. Lost candidates get no keys; if all candidates are lost, the placement is
+// returned unchanged.
 key_placement reassignLost(key_placement placement,
                            const std::function<bool(const upstream_id &)> &isLost,
                            std::vector<range_candidate> candidates, milliseconds takeOverAfter);
 
-// Gives `keys` to `target`, as their owner does after it has released them.
+// Records `target` as the owner of `keys`. The daemon of the previous owner calls
+// this function after the keys are released; `handover` is the state transfer token of the release.
 key_placement moveRange(key_placement placement, key_interval keys, const upstream_id &target,
                         const std::string &handover);
 
-// Clears the waiting time of a takeover by `owner` whose time has passed.
+// Activates the pending takeovers by `owner`: clears their waiting time and previous owner. The
+// waiting time must have passed.
 key_placement activateTakeover(key_placement placement, const upstream_id &owner);
 
-// Takes back the keys that takeovers not cleared yet took from `previous`, which still runs.
+// Makes `previous`, which must still run, the owner again of all keys that pending takeovers took
+// from it.
 key_placement reclaimRanges(key_placement placement, const upstream_id &previous);
 
-// Number of keys that an upstream owns.
+// Returns the number of keys that an upstream owns.
 uint32_t ownedKeys(const key_placement &placement, const upstream_id &owner);
 
 // Load of one owner.
@@ -45,46 +49,52 @@
 {
     upstream_id id;
     int slots = 1;
-    // Slots that its requests would use if all were started at once, per slot that it has, averaged
-    // over about a second. Above 1 it can't serve them all.
+    // Slots that the owner's requests would use if all of them were started at once, divided by the
+    // owner's slots and averaged over about a second. Above 1, the owner cannot serve all requests.
     double utilization = 0;
-    // Mean time that one request takes there; 0 if unknown.
+    // Mean time that the owner needs for one request; 0 if unknown.
     std::chrono::microseconds meanServiceTime{0};
 };
 
+// Limits of chooseMoves().
 struct move_options
 {
-    // Below this utilization an owner keeps its keys, since moving them would help nobody.
+    // An owner below this utilization keeps its keys, since a move would not relieve any upstream.
     double minUtilization = 0.75;
-    // Difference to the least loaded owner from which keys are moved.
-    double minDifference = 0.25;
-    // Largest part of all keys that one move takes.
-    double maxKeys = 0.25;
-    // Owners that get keys at once. A hot area may need as many as carry it together.
+    // Least difference in utilization between an owner and a peer that gets keys from the owner.
+    double minUtilizationDifference = 0.25;
+    // Largest share of all keys that one move may contain.
+    double maxKeyShare = 0.25;
+    // Most peers that get keys at once. A hot interval may need several peers to serve it together.
     size_t maxTargets = 6;
-    // Part of the room of a target that one owner fills, since others may choose the same target.
-    double intake = 0.8;
-    // Moves of a smaller part of what the owner can serve are not worth their cost.
-    double minShare = 0.02;
+    // Share of a target's spare capacity that one owner may use. Other owners may choose the same
+    // target at the same time.
+    double capacityShare = 0.8;
+    // Smallest load of a move, as a share of the load that the owner can serve. Smaller moves are
+    // not worth their cost.
+    double minLoadShare = 0.02;
 };
 
+// Interval of keys to be moved to another owner.
 struct planned_move
 {
     key_interval keys;
     upstream_id target;
 };
 
-// Chooses the keys that an owner gives away, if any, so that its load and those of its least loaded
-// peers come level: for each of them the shortest interval that carries its part. A key that is
-// asked for more than a whole upstream serves stays, and the keys beside it go. `rate` is the
-// requests per second by key, in the `own` ranges of the owner.
+// Chooses the keys that an owner moves to its least loaded peers so that their utilizations
+// converge. Returns at most one interval per peer, the shortest one that carries the peer's share
+// of the load; empty if no move is worthwhile. A key with more requests than a whole upstream can
+// serve stays with its owner, and the keys beside it are moved. `own` lists the ranges of the
+// owner; `rate` returns the requests per second of a key in these ranges.
 std::vector<planned_move> chooseMoves(const std::vector<key_interval> &own,
                                       const std::function<double(shard_key)> &rate,
                                       const owner_load &self, const std::vector<owner_load> &others,
                                       const move_options &options = {});
 
-// Chooses keys for an upstream that owns none: half of the keys of the owner with most keys, if
-// that is `self`.
+// Chooses keys for a candidate that owns none: the upper half of the longest range of `self`, if
+// `self` owns the most keys. If several candidates own equally many keys, the first of them counts.
+// Returns nothing if another candidate owns more keys or every candidate owns keys.
 std::optional<planned_move> chooseShareForNewcomer(const key_placement &placement,
                                                    const upstream_id &self,
                                                    const std::vector<range_candidate> &candidates);
