--- a/src/persimmonrail/routing/deadline.cpp
+++ b/src/persimmonrail/routing/deadline.cpp
@@ -9,22 +9,22 @@
 
 namespace persimmonrail {
 
-absl::StatusOr<deadline> deadline::ofRequest(std::string_view header, milliseconds timeout,
-                                             steady_time now)
+absl::StatusOr<deadline> deadline::forRequest(std::string_view header, milliseconds timeout,
+                                              steady_time now)
 {
-    auto allowed = timeout;
+    auto remainingTime = timeout;
     if (!header.empty()) {
         uint64_t stated = 0;
         if (!absl::SimpleAtoi(toAbsl(header), &stated)) {
             return absl::InvalidArgumentError(
-                absl::StrCat("not a number of milliseconds: ", toAbsl(header)));
+                absl::StrCat("deadline is not a number of milliseconds: ", toAbsl(header)));
         }
-        // Compared before the conversion, which would overflow for huge values.
-        if (stated < static_cast<uint64_t>(allowed.count())) {
-            allowed = milliseconds(stated);
+        // The comparison precedes the conversion to milliseconds, which overflows for huge values.
+        if (stated < static_cast<uint64_t>(remainingTime.count())) {
+            remainingTime = milliseconds(stated);
         }
     }
-    return deadline(now + allowed);
+    return deadline(now + remainingTime);
 }
 
 milliseconds deadline::remaining(steady_time now) const
@@ -32,9 +32,9 @@
     return std::max(milliseconds(0), std::chrono::floor<milliseconds>(m_at - now));
 }
 
-milliseconds deadline::clamp(milliseconds wanted, steady_time now) const
+milliseconds deadline::clamp(milliseconds duration, steady_time now) const
 {
-    return std::min(wanted, remaining(now));
+    return std::min(duration, remaining(now));
 }
 
 std::string deadline::headerValue(steady_time now) const
--- a/src/persimmonrail/routing/deadline.h
+++ b/src/persimmonrail/routing/deadline.h
@@ -9,7 +9,7 @@
 
 namespace persimmonrail {
 
-// The moment after which a request's answer is of no use to its caller. Immutable value.
+// Time after which the response to a request is of no use to the caller. Immutable value.
 class deadline
 {
 public:
@@ -17,21 +17,23 @@
         : m_at(at)
     { }
 
-    // Deadline of a request received at `now`: the operation's timeout, or the remaining time that
-    // the caller states (the value of Persimmonrail-Deadline-Ms, empty if absent) if that is less.
+    // Returns the deadline of a request received at `now`. The request may take the operation's
+    // timeout or, if less, the remaining time that the caller states in `header`, the value of
+    // Persimmonrail-Deadline-Ms (empty if absent).
+    //
     // Errors: InvalidArgument if the value is not a number of milliseconds.
-    static absl::StatusOr<deadline> ofRequest(std::string_view header, milliseconds timeout,
-                                              steady_time now);
+    static absl::StatusOr<deadline> forRequest(std::string_view header, milliseconds timeout,
+                                               steady_time now);
 
     steady_time at() const { return m_at; }
-    // Never negative.
+    // Returns the time left at `now`, rounded down; 0 once the deadline has passed.
     milliseconds remaining(steady_time now) const;
     bool isExpired(steady_time now) const { return now >= m_at; }
-    // Whether a step that takes this long ends before the deadline.
-    bool allows(milliseconds step, steady_time now) const { return now + step < m_at; }
-    // The lesser of `wanted` and the remaining time.
-    milliseconds clamp(milliseconds wanted, steady_time now) const;
-    // Value of Persimmonrail-Deadline-Ms for the next hop, rounded down.
+    // Returns whether a step of this duration that starts at `now` ends before the deadline.
+    bool hasTimeFor(milliseconds step, steady_time now) const { return now + step < m_at; }
+    // Returns `duration`, limited to the remaining time.
+    milliseconds clamp(milliseconds duration, steady_time now) const;
+    // Returns the value of Persimmonrail-Deadline-Ms for the next hop, rounded down.
     std::string headerValue(steady_time now) const;
 
 private:
--- a/src/persimmonrail/routing/retry_budget.h
+++ b/src/persimmonrail/routing/retry_budget.h
@@ -6,17 +6,19 @@
 
 namespace persimmonrail {
 
+// Limits of a retry_budget.
 struct retry_budget_options
 {
     // Retries allowed per first attempt.
     double ratio = 0.10;
-    // Retries a second allowed in addition, so that a daemon with little traffic can retry at all.
-    double minPerSecond = 1.0;
-    // Unused retries that are kept for later; bounds a burst.
-    double burst = 50.0;
+    // Additional retries allowed per second, so that a daemon with little traffic can retry at all.
+    double minRetriesPerSecond = 1.0;
+    // Most unused retries that accumulate, which limits a burst of retries.
+    double maxBurst = 50.0;
 };
 
-// Limits retries to a share of first attempts, so that retries can't multiply an overload.
+// Token bucket that limits retries to a share of first attempts, so that retries cannot amplify an
+// overload.
 //
 // Thread safe.
 class retry_budget
@@ -24,16 +26,18 @@
 public:
     retry_budget(steady_time now, retry_budget_options options = {});
 
+    // Adds the retries that one first attempt allows.
     void recordFirstAttempt(steady_time now);
-    // Takes one retry from the budget; returns false if none is left.
+    // Consumes one retry of the budget. Returns false if none is available.
     bool tryRetry(steady_time now);
 
 private:
+    // Adds the retries allowed for the time since the last refill.
     void refill(steady_time now);
 
     const retry_budget_options m_options;
     std::mutex m_mutex;
-    double m_available;
+    double m_availableRetries;
     steady_time m_refilledAt;
 };
 
--- a/src/persimmonrail/routing/route_candidates.cpp
+++ b/src/persimmonrail/routing/route_candidates.cpp
@@ -13,9 +13,9 @@
         return candidates;
     }
     const auto add = [&](const member_record *member) {
-        const bool listed =
+        const bool isListed =
             std::find(candidates.begin(), candidates.end(), member) != candidates.end();
-        if (member != nullptr && !listed) {
+        if (member != nullptr && !isListed) {
             candidates.push_back(member);
         }
     };
--- a/src/persimmonrail/routing/route_candidates.h
+++ b/src/persimmonrail/routing/route_candidates.h
@@ -7,10 +7,13 @@
 
 namespace persimmonrail {
 
-// Returns the members to try for a request with this key hash, in order: the recorded owner, the
-// holder named in a "not owner" answer (empty if none), the target of a planned move, the standbys.
-// Members that the view does not know under the recorded incarnation are left out; the hint is by
-// name, since it may be newer than the view. Empty if no record covers the hash.
+// Returns the members to try for a request with this key hash, without duplicates, in this order:
+// the recorded owner, the hinted holder, the next owner of a planned move, the standbys. Empty if
+// no placement record covers the hash.
+//
+// Members of the record are skipped if the view does not contain their recorded incarnation.
+// `hintedHolder` is the holder named in a "not owner" response (empty if none). The hint is matched
+// by name only, since the hint may be newer than the view.
 //
 // The pointers are valid as long as the view.
 std::vector<const member_record *> routeCandidates(const fleet_view &view, std::string_view service,
--- a/src/persimmonrail/routing/tests/instance_picker_test.cpp
+++ b/src/persimmonrail/routing/tests/instance_picker_test.cpp
@@ -13,6 +13,7 @@
 
 const steady_time start = steady_time{} + 1h;
 
+// Returns members with 10 slots each: `local` of them in the zone "own", `remote` in "other".
 std::vector<member_record> makeMembers(int local, int remote)
 {
     std::vector<member_record> members;
@@ -33,7 +34,8 @@
     return result;
 }
 
-// Picks and finishes `count` requests, one after the other; returns the picks by instance.
+// Picks and finishes `count` requests, one after the other. Returns the number of picks by
+// instance.
 std::map<std::string, int> serve(instance_picker &picker, int count, steady_time now,
                                  const std::function<result(const std::string &)> &outcome)
 {
@@ -54,13 +56,13 @@
 
 } // namespace
 
-// Guards against traffic across availability zones without need.
-TEST_CASE("the own zone is preferred until it is overloaded")
+// Guards against unnecessary traffic across availability zones.
+TEST_CASE("the own availability zone is preferred until it is overloaded")
 {
     const auto members = makeMembers(2, 4);
     instance_picker picker("own", std::mt19937_64(5));
     picker.setInstances(pointers(members), start);
-    // Two instances of 10 slots: 8 in flight each count as overload.
+    // Each of the two instances has 10 slots and counts as overloaded with 8 requests in flight.
     for (int i = 0; i < 16; ++i) {
         CHECK(picker.pick({}, start)->availabilityZone == "own");
     }
@@ -71,8 +73,9 @@
     CHECK(remote == 8);
 }
 
-// Guards against a slow instance keeping its share, and against it never being tried again.
-TEST_CASE("a slow instance gets less, and is tried again later")
+// Guards against a slow instance that keeps its share of requests, and against one that is never
+// tried again.
+TEST_CASE("a slow instance gets fewer requests and is tried again later")
 {
     const auto members = makeMembers(3, 0);
     instance_picker picker("own", std::mt19937_64(5));
@@ -91,9 +94,9 @@
     CHECK(serveSlowly(start + 60s, 5ms) > 50);
 }
 
-// Guards against one failing instance taking requests, and against the ejection of so many that
-// the rest is overloaded.
-TEST_CASE("failing instances are ejected, at most half of them")
+// Guards against a failing instance that keeps getting requests, and against the ejection of so
+// many instances that the others are overloaded.
+TEST_CASE("failing instances are ejected, at most half of all instances")
 {
     const auto [count, failing, ejected] = GENERATE(table<int, int, size_t>(
         {{4, 0, 0}, {4, 1, 1}, {4, 2, 2}, {4, 4, 2}, {2, 2, 1}, {1, 1, 0}}));
@@ -103,13 +106,13 @@
     serve(picker, 400, start, [failing = failing](const std::string &name) {
         return name.back() - '0' < failing ? result::Failed : result::Responded;
     });
-    CHECK(picker.ejected(start) == ejected);
-    CHECK(picker.ejected(start + 1s) == 0);
+    CHECK(picker.ejectedCount(start) == ejected);
+    CHECK(picker.ejectedCount(start + 1s) == 0);
 }
 
-// Guards against an instance that fails again and again taking requests every second, and against
-// one that is punished for failures long past.
-TEST_CASE("repeated ejections last longer and are forgotten")
+// Guards against an instance that fails repeatedly and still gets requests every second, and
+// against a long ejection because of failures long ago.
+TEST_CASE("repeated ejections last longer until a time without ejection")
 {
     const auto members = makeMembers(2, 0);
     instance_picker picker("own", std::mt19937_64(5));
@@ -119,25 +122,25 @@
         for (int i = 0; i < 3; ++i) {
             picker.finish(members[0].id, result::Failed, 1ms, now);
         }
-        CHECK(picker.ejected(now + duration - 1ms) == 1);
-        CHECK(picker.ejected(now + duration) == 0);
+        CHECK(picker.ejectedCount(now + duration - 1ms) == 1);
+        CHECK(picker.ejectedCount(now + duration) == 0);
         now += duration;
     }
     now += 31s;
     for (int i = 0; i < 3; ++i) {
         picker.finish(members[0].id, result::Failed, 1ms, now);
     }
-    CHECK(picker.ejected(now + 1s) == 0);
+    CHECK(picker.ejectedCount(now + 1s) == 0);
 }
 
-// Guards against a cold instance that gets its full share at once.
-TEST_CASE("a new or returning instance starts slowly")
+// Guards against an instance that gets its full share of requests before it has warmed up.
+TEST_CASE("a new or returning instance gets its share gradually")
 {
-    const auto [elapsed, least, most] =
+    const auto [elapsed, minPicks, maxPicks] =
         GENERATE(table<milliseconds, int, int>({{0ms, 1, 150}, {10000ms, 200, 600}}));
     const bool isNew = GENERATE(true, false);
     auto members = makeMembers(4, 0);
-    const auto first = members.back();
+    const auto slowStarting = members.back();
     instance_picker picker("own", std::mt19937_64(5));
     if (isNew) {
         members.pop_back();
@@ -146,22 +149,23 @@
     serve(picker, 300, start, responded);
     auto now = start;
     if (isNew) {
-        members.push_back(first);
+        members.push_back(slowStarting);
         picker.setInstances(pointers(members), start);
     } else {
         for (int i = 0; i < 3; ++i) {
-            picker.finish(first.id, result::Failed, 1ms, start);
+            picker.finish(slowStarting.id, result::Failed, 1ms, start);
         }
         now += 1s;
     }
     const auto picks = serve(picker, 1200, now + elapsed, responded);
-    const int given = picks.count(first.id.name) == 0 ? 0 : picks.at(first.id.name);
-    CHECK(given >= least);
-    CHECK(given <= most);
+    const int slowStartPicks =
+        picks.count(slowStarting.id.name) == 0 ? 0 : picks.at(slowStarting.id.name);
+    CHECK(slowStartPicks >= minPicks);
+    CHECK(slowStartPicks <= maxPicks);
 }
 
-// Guards against a retry at the instance that has just failed.
-TEST_CASE("instances that were tried are left out")
+// Guards against a retry on the instance that has just failed.
+TEST_CASE("instances that were already tried are skipped")
 {
     const auto members = makeMembers(2, 1);
     instance_picker picker("own", std::mt19937_64(5));
@@ -176,8 +180,8 @@
     CHECK_FALSE(picker.pick(tried, start).has_value());
 }
 
-// Guards against in-flight counts that drift when threads pick while the set of instances changes.
-TEST_CASE("threads share one picker")
+// Guards against wrong in-flight counts when threads pick while the set of instances changes.
+TEST_CASE("several threads can use one picker")
 {
     const auto members = makeMembers(4, 4);
     instance_picker picker("own", std::mt19937_64(5));
@@ -198,7 +202,8 @@
     for (auto &thread : threads) {
         thread.join();
     }
-    // With all counts back at 0, the own zone takes requests up to its limit of 8 per instance.
+    // With all counts back at 0, the own availability zone gets requests up to its limit of 8 per
+    // instance.
     for (int i = 0; i < 24; ++i) {
         CHECK(picker.pick({}, start)->availabilityZone == "own");
     }
--- a/src/persimmonrail/routing/tests/routing_test.cpp
+++ b/src/persimmonrail/routing/tests/routing_test.cpp
@@ -17,8 +17,8 @@
 
 } // namespace
 
-// Guards against requests sent to members that have restarted since the record was written, sent
-// twice to one member, or sent to members that never own the key.
+// Guards against requests that are sent to members restarted since the record was written, sent to
+// one member twice, or sent to members that never own the key.
 TEST_CASE("candidates come in the order owner, hint, next owner, standbys")
 {
     struct row
@@ -31,16 +31,16 @@
         std::vector<std::string> expected;
     };
     const auto row = GENERATE(values<struct row>({
-        {"plain", "a", "", "", {"b", "c"}, {"a", "b", "c"}},
+        {"owner and standbys", "a", "", "", {"b", "c"}, {"a", "b", "c"}},
         {"hint before standbys", "a", "c", "", {"b", "c"}, {"a", "c", "b"}},
         {"hint not in the record", "a", "d", "", {"b"}, {"a", "d", "b"}},
         {"unknown hint", "a", "x", "", {"b"}, {"a", "b"}},
         {"hint is the owner", "a", "a", "", {"b"}, {"a", "b"}},
-        {"move under way", "a", "", "d", {"b"}, {"a", "d", "b"}},
-        {"owner gone", "x", "", "", {"b", "c"}, {"b", "c"}},
+        {"planned move", "a", "", "d", {"b"}, {"a", "d", "b"}},
+        {"unknown owner", "x", "", "", {"b", "c"}, {"b", "c"}},
         {"owner restarted", "restarted", "", "", {"b"}, {"b"}},
         {"standby restarted", "a", "", "", {"restarted", "c"}, {"a", "c"}},
-        {"nobody known", "x", "", "", {}, {}},
+        {"no known member", "x", "", "", {}, {}},
     }));
     CAPTURE(row.name);
     fleet_view view;
@@ -66,11 +66,11 @@
     CHECK(routeCandidates(view, "s", 100, row.hint).empty());
 }
 
-// Guards against retries that multiply an overload.
+// Guards against retries that amplify an overload.
 TEST_CASE("retries stay within a tenth of first attempts plus the minimum")
 {
     const int attemptsPerSecond = GENERATE(0, 10, 1000, 2388);
-    const double allowedPerSecond = attemptsPerSecond * 0.1 + 1;
+    const double allowedRetriesPerSecond = attemptsPerSecond * 0.1 + 1;
     retry_budget budget(start, {});
     int retries = 0;
     constexpr int seconds = 20;
@@ -84,12 +84,12 @@
             retries += budget.tryRetry(now) ? 1 : 0;
         }
     }
-    CHECK(retries <= seconds * allowedPerSecond + 1);
-    CHECK(retries >= seconds * allowedPerSecond * 0.9 - 2);
+    CHECK(retries <= seconds * allowedRetriesPerSecond + 1);
+    CHECK(retries >= seconds * allowedRetriesPerSecond * 0.9 - 2);
 }
 
-// Guards against lost updates between traffic threads and against an unbounded burst.
-TEST_CASE("threads share one bounded budget")
+// Guards against lost updates between threads and against an unbounded burst.
+TEST_CASE("several threads can use one bounded budget")
 {
     const auto [burst, expected] = GENERATE(table<double, int>({{50, 50}, {1e9, 4000}}));
     retry_budget budget(start, {0.1, 0.0, burst});
@@ -113,7 +113,7 @@
     CHECK(retries <= expected);
 }
 
-// Guards against delays that grow without bound or come in step.
+// Guards against delays that grow without bound, and against clients that retry simultaneously.
 TEST_CASE("delays double up to the maximum, with jitter in the upper half")
 {
     backoff delays(50ms, 1000ms, std::mt19937_64(3));
@@ -127,7 +127,7 @@
 }
 
 // Guards against a hop that extends the caller's deadline, and against overflow.
-TEST_CASE("the deadline of a request is the lesser of timeout and header")
+TEST_CASE("the deadline of a request follows from the smaller of timeout and header")
 {
     const auto [header, expected] =
         GENERATE(table<std::string, int>({{"", 2000},
@@ -140,7 +140,7 @@
                                           {"18446744073709551616", -1},
                                           {"5s", -1}}));
     CAPTURE(header);
-    const auto result = deadline::ofRequest(header, 2000ms, start);
+    const auto result = deadline::forRequest(header, 2000ms, start);
     REQUIRE(result.ok() == (expected >= 0));
     if (result.ok()) {
         CHECK(result->remaining(start) == milliseconds(expected));
@@ -148,13 +148,13 @@
         CHECK(result->headerValue(start) == std::to_string(expected));
         CHECK(result->remaining(start + 1h) == 0ms);
         CHECK(result->clamp(700ms, start) == milliseconds(std::min(700, expected)));
-        CHECK(result->allows(700ms, start) == (expected > 700));
+        CHECK(result->hasTimeFor(700ms, start) == (expected > 700));
     } else {
         CHECK(absl::IsInvalidArgument(result.status()));
     }
 }
 
-TEST_CASE("the header value is rounded down")
+TEST_CASE("the deadline header value is rounded down")
 {
     const deadline limit(start + 1500us);
     CHECK(limit.headerValue(start) == "1");
