--- a/src/persimmonrail/routes/route_table.cpp
+++ b/src/persimmonrail/routes/route_table.cpp
@@ -55,20 +55,20 @@
     return found == m_services.end() ? nullptr : &*found;
 }
 
-const traffic_share &chooseTrafficShare(const route &route, uint64_t draw)
+const traffic_share &chooseTrafficShare(const route &route, uint64_t randomValue)
 {
-    uint64_t total = 0;
-    for (const traffic_share &part : route.trafficShares) {
-        total += static_cast<uint64_t>(std::max(part.weight, 0));
+    uint64_t totalWeight = 0;
+    for (const traffic_share &share : route.trafficShares) {
+        totalWeight += static_cast<uint64_t>(std::max(share.weight, 0));
     }
-    if (total == 0) {
+    if (totalWeight == 0) {
         return route.trafficShares.front();
     }
-    uint64_t position = draw % total;
-    for (const traffic_share &part : route.trafficShares) {
-        const auto weight = static_cast<uint64_t>(std::max(part.weight, 0));
+    uint64_t position = randomValue % totalWeight;
+    for (const traffic_share &share : route.trafficShares) {
+        const auto weight = static_cast<uint64_t>(std::max(share.weight, 0));
         if (position < weight) {
-            return part;
+            return share;
         }
         position -= weight;
     }
--- a/src/persimmonrail/routes/route_table.h
+++ b/src/persimmonrail/routes/route_table.h
@@ -18,38 +18,39 @@
     int weight = 1;
 };
 
-// Requests of one host and path prefix, and how they are treated.
+// Rules for the requests of one host and path prefix.
 struct route
 {
     std::string name;
     std::string host;
-    // Begins and ends with a slash.
+    // Starts and ends with a slash.
     std::string pathPrefix;
-    // Whether a request may run more than once.
+    // Whether a request may be executed more than once.
     bool repeatable = false;
-    // Longest time that a caller is kept waiting.
+    // Longest time for which a caller waits for a response.
     milliseconds timeout{0};
-    // Time within which an answer has its full worth.
+    // Latency objective: time within which a response has its full value.
     milliseconds objective{0};
-    // 0 is the most urgent.
+    // Priority class of the requests; 0 is the most urgent.
     int rank = 0;
-    // Most instances that one request may be sent to.
+    // Maximum number of instances to which one request may be sent.
     int maxAttempts = 1;
-    // At least one.
+    // Services that get the requests; at least one.
     std::vector<traffic_share> trafficShares;
 };
 
+// Rules for the instances of one service.
 struct service_rule
 {
     std::string name;
-    // Whether requests carry a key and instances own key ranges exclusively.
+    // Whether requests carry a key and each instance owns its key ranges exclusively.
     bool isKeyed = false;
-    // Connections that one instance accepts.
+    // Number of connections that one instance accepts.
     int maxConnections = 0;
     std::string healthPath;
 };
 
-// The operators' desired state of routing, immutable once built.
+// Desired state of routing as set by the operators. Immutable after construction.
 class route_table
 {
 public:
@@ -58,12 +59,12 @@
                 milliseconds idleTimeout);
 
     uint64_t version() const { return m_version; }
-    // Longest time that a caller's connection may stay idle.
+    // Returns the longest time for which a caller's connection may stay idle.
     milliseconds idleTimeout() const { return m_idleTimeout; }
-    // Returns the route with the longest prefix that begins the path; null if there is none.
-    // `host` may carry a port, which is ignored; `path` may carry a query.
+    // Returns the route of the host whose path prefix is the longest match; null if none matches.
+    // The case of `host` and a port in it are ignored, and so is a query in `path`.
     const route *find(std::string_view host, std::string_view path) const;
-    // Null if the service is unknown.
+    // Returns null if the service is unknown.
     const service_rule *findService(std::string_view name) const;
     const std::vector<route> &routes() const { return m_routes; }
     const std::vector<service_rule> &services() const { return m_services; }
@@ -77,7 +78,9 @@
     std::map<std::string, std::vector<size_t>, std::less<>> m_byHost;
 };
 
-// Chooses a part by weight; `draw` is uniform over 64 bits. Parts without weight are not chosen.
-const traffic_share &chooseTrafficShare(const route &route, uint64_t draw);
+// Returns a traffic share of the route with a probability proportional to its weight. Shares
+// without weight are not chosen unless no share has a weight; then the first share is returned.
+// `randomValue` must be uniformly distributed over 64 bits.
+const traffic_share &chooseTrafficShare(const route &route, uint64_t randomValue);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/routes/tests/route_table_test.cpp
+++ b/src/persimmonrail/routes/tests/route_table_test.cpp
@@ -10,12 +10,12 @@
 
 route makeRoute(const std::string &name, const std::string &host, const std::string &prefix)
 {
-    route made;
-    made.name = name;
-    made.host = host;
-    made.pathPrefix = prefix;
-    made.trafficShares = {{"ledger", 1}};
-    return made;
+    route result;
+    result.name = name;
+    result.host = host;
+    result.pathPrefix = prefix;
+    result.trafficShares = {{"ledger", 1}};
+    return result;
 }
 
 route_table makeTable()
@@ -29,7 +29,7 @@
 
 } // namespace
 
-// Guards against a request that runs under the rules of another route.
+// Guards against a request that is handled by the rules of another route.
 TEST_CASE("the longest prefix of the host selects the route", "[routes]")
 {
     const auto [host, path, expected] = GENERATE(table<std::string, std::string, std::string>({
@@ -56,14 +56,14 @@
     CHECK(routes.findService("none") == nullptr);
 }
 
-// Guards against parts that get another share than their weight says.
-TEST_CASE("parts of a route are chosen by weight", "[routes]")
+// Guards against services that get a share of requests other than the share of their weight.
+TEST_CASE("traffic shares of a route are chosen by weight", "[routes]")
 {
     route split = makeRoute("split", "a.example", "/");
     split.trafficShares = {{"old", 90}, {"new", 10}, {"off", 0}};
     std::map<std::string, int> chosen;
-    for (uint64_t draw = 0; draw < 1000; ++draw) {
-        ++chosen[chooseTrafficShare(split, draw).service];
+    for (uint64_t randomValue = 0; randomValue < 1000; ++randomValue) {
+        ++chosen[chooseTrafficShare(split, randomValue).service];
     }
     CHECK(chosen == std::map<std::string, int>{{"old", 900}, {"new", 100}});
     split.trafficShares = {{"only", 0}};
