--- a/src/persimmonrail/proxy/exchange_codec.h
+++ b/src/persimmonrail/proxy/exchange_codec.h
@@ -12,48 +12,54 @@
 
 namespace persimmonrail {
 
-// What a caller states in the head of a request.
+// Values that a caller sends in the head of a request.
 struct caller_fields
 {
-    // Empty if the caller names none.
+    // Empty if the request has no ID.
     std::string requestId;
-    // How long the caller waits; nothing if it does not say.
+    // How long the caller waits for the response; nullopt if the request does not state it.
     std::optional<milliseconds> timeout;
     std::optional<shard_key> key;
-    // A field is present and can't be read.
+    // Whether a field is present but can't be parsed.
     bool isMalformed = false;
 };
 
-// What an upstream is told about a request.
+// Values that this daemon adds to the head of a request for an upstream.
 struct upstream_fields
 {
-    // The upstream that is to run it; any other refuses.
+    // Name of the upstream that should run the request; any other upstream rejects the request.
     std::string upstream;
     milliseconds timeLeft{0};
-    // Service on whose host the request began.
+    // Service on whose host the request originated.
     std::string callerService;
 };
 
+// How a response relates to the request for which it arrived.
 enum class response_kind {
-    // The upstream's own answer to this request.
+    // The upstream's response to this request.
     Genuine,
-    // It states that it did not run the request.
+    // The upstream states that it did not run the request.
     NotRun,
-    // It does not run the request, since it is not the one named, or does not hold the key.
+    // The upstream did not run the request because the request names another upstream or the
+    // upstream does not own the key.
     WrongTarget,
-    // Belongs to another request.
+    // Response to another request.
     Foreign,
-    // A success without the proof that the upstream made it, or in a form that nobody asked for.
+    // A success response that lacks the proof that the upstream produced it, or that has a form the
+    // request did not ask for.
     Unsound,
 };
 
-// Translation between the product's view of an exchange and the platform's header fields. Hooks
-// are thread safe.
+// Translates between the proxy's view of an exchange and the platform's header fields. All
+// functions must be thread safe.
 struct exchange_codec
 {
+    // Parses the fields of a caller's request.
     std::function<caller_fields(const Poco::Net::HTTPRequest &request)> readCall;
+    // Sets the fields of a request for the upstream.
     std::function<void(Poco::Net::HTTPRequest &request, const upstream_fields &call)>
         addressUpstream;
+    // Classifies the head of a response to the request with this ID.
     std::function<response_kind(const Poco::Net::HTTPResponse &head, const std::string &requestId)>
         classifyResponse;
 };
--- a/src/persimmonrail/proxy/large_response_queue.h
+++ b/src/persimmonrail/proxy/large_response_queue.h
@@ -13,21 +13,22 @@
 
 struct large_response_queue_options
 {
-    // Answers of at least this size take turns; smaller ones go at once.
-    size_t largeBytes = 16 * 1024;
-    // A transfer goes on without a turn after this time: one that is stuck must not hold up others.
+    // Responses of at least this size need a permit; smaller ones are sent at once.
+    size_t minLargeBytes = 16 * 1024;
+    // Longest wait for a permit. After it the transfer goes on without one, so that a stuck
+    // transfer does not block others.
     milliseconds maxWait{1000};
-    // A transfer gives up its turn after this time.
+    // The holder releases its permit after this time.
     milliseconds maxPermitTime{400};
 };
 
-// Lets large answers leave this host one after the other. Several at once fill the queue of the
-// host's link with all of their windows, so that small answers and new connections wait behind
-// them, and each large answer ends as late as the last one. Thread safe.
+// Serializes large responses that leave this host. Several large responses at once would fill the
+// queue of the host's link with all of their TCP windows: small responses and new connections would
+// wait behind them, and each large response would end as late as the last one. Thread safe.
 class large_response_queue
 {
 public:
-    // A place in the order, given back on destruction. Used by one thread.
+    // Permission to send a large response. The destructor releases the permit. Used by one thread.
     class permit
     {
     public:
@@ -37,8 +38,9 @@
         { }
         permit(const permit &) = delete;
         permit &operator=(const permit &) = delete;
-        ~permit() { m_queue.leave(); }
-        bool isOver(steady_time now) const { return now >= m_end; }
+        ~permit() { m_queue.release(); }
+        // Returns whether the holder should release the permit.
+        bool hasExpired(steady_time now) const { return now >= m_end; }
 
     private:
         large_response_queue &m_queue;
@@ -47,20 +49,21 @@
 
     explicit large_response_queue(large_response_queue_options options = {});
 
-    // Whether an answer of this size takes turns.
-    bool isLarge(size_t bytes) const { return bytes >= m_options.largeBytes; }
-    // Waits for the turn of the calling thread, in the order of arrival. Null if that took too
-    // long.
-    std::unique_ptr<permit> enter();
+    // Returns whether a response of this size needs a permit.
+    bool isLarge(size_t bytes) const { return bytes >= m_options.minLargeBytes; }
+    // Blocks until the calling thread gets the permit, in order of arrival. Returns null after
+    // `maxWait`.
+    std::unique_ptr<permit> acquire();
 
 private:
-    void leave();
+    void release();
 
     const large_response_queue_options m_options;
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    bool m_isTaken = false;
+    bool m_isPermitHeld = false;
     uint64_t m_lastTicket = 0;
+    // Tickets of the waiting threads, in order of arrival.
     std::deque<uint64_t> m_waiting;
 };
 
--- a/src/persimmonrail/proxy/link_pacer.cpp
+++ b/src/persimmonrail/proxy/link_pacer.cpp
@@ -5,7 +5,7 @@
 namespace persimmonrail {
 namespace {
 
-// Weight of one answer in the mean size of its route.
+// Weight of one response in the moving average of its route's response size.
 constexpr double sizeSmoothing = 0.1;
 
 } // namespace
@@ -14,7 +14,7 @@
     : m_bytesPerSecond(bytesPerSecond)
 { }
 
-std::chrono::nanoseconds link_pacer::timeFor(double bytes) const
+std::chrono::nanoseconds link_pacer::transmissionTime(double bytes) const
 {
     if (m_bytesPerSecond <= 0) {
         return std::chrono::nanoseconds(0);
@@ -23,13 +23,13 @@
         std::chrono::duration<double>(bytes / m_bytesPerSecond));
 }
 
-void link_pacer::begin(const std::string &route, size_t bytes)
+void link_pacer::beginResponse(const std::string &route, size_t bytes)
 {
     const std::lock_guard lock(m_mutex);
     const auto size = static_cast<double>(bytes);
     m_pendingBytes += size;
-    const auto known = m_sizes.try_emplace(route, size).first;
-    known->second += (size - known->second) * sizeSmoothing;
+    const auto entry = m_sizes.try_emplace(route, size).first;
+    entry->second += (size - entry->second) * sizeSmoothing;
 }
 
 steady_time link_pacer::reserve(size_t bytes, steady_time now)
@@ -38,27 +38,28 @@
     const auto size = static_cast<double>(bytes);
     m_pendingBytes = std::max(0.0, m_pendingBytes - size);
     const steady_time start = std::max(m_freeAt, now);
-    m_freeAt = start + timeFor(size);
+    m_freeAt = start + transmissionTime(size);
     return start;
 }
 
-void link_pacer::abandon(size_t bytes)
+void link_pacer::cancelBytes(size_t bytes)
 {
     const std::lock_guard lock(m_mutex);
     m_pendingBytes = std::max(0.0, m_pendingBytes - static_cast<double>(bytes));
 }
 
-std::chrono::nanoseconds link_pacer::backlog(steady_time now) const
+std::chrono::nanoseconds link_pacer::queueDelay(steady_time now) const
 {
     const std::chrono::nanoseconds reserved = std::max(m_freeAt, now) - now;
-    return reserved + timeFor(m_pendingBytes);
+    return reserved + transmissionTime(m_pendingBytes);
 }
 
-link_pacer::estimate link_pacer::expect(const std::string &route, steady_time now) const
+link_pacer::estimate link_pacer::estimateFor(const std::string &route, steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto known = m_sizes.find(route);
-    return known == m_sizes.end() ? estimate() : estimate{backlog(now), timeFor(known->second)};
+    const auto entry = m_sizes.find(route);
+    return entry == m_sizes.end() ? estimate()
+                                  : estimate{queueDelay(now), transmissionTime(entry->second)};
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/proxy/link_pacer.h
+++ b/src/persimmonrail/proxy/link_pacer.h
@@ -9,44 +9,49 @@
 
 namespace persimmonrail {
 
-// Spreads the bytes of large answers over the time that this host's link takes for them, so that
-// they do not queue in front of the link, where small answers and new connections would wait behind
-// them. Knows how much large answers are due, and so how long a further one takes. Thread safe.
+// Paces the bytes of large responses at the rate of this host's link, so that they do not queue in
+// front of the link and delay small responses and new connections. Also estimates how long a
+// further large response takes from the bytes that are pending. Thread safe.
 class link_pacer
 {
 public:
-    // `bytesPerSecond`: what large answers may use of the link; 0 if it is unknown, then nothing is
-    // ever held back.
+    // `bytesPerSecond` is the rate that large responses may use. 0 means that the rate is unknown,
+    // and disables pacing.
     explicit link_pacer(double bytesPerSecond = 0);
 
-    // An answer of a route begins, of which `bytes` are still to be sent.
-    void begin(const std::string &route, size_t bytes);
-    // Reserves the link for the next bytes of an answer and returns when they may be sent.
+    // Records that a response of the route begins, of which `bytes` are still to be sent.
+    void beginResponse(const std::string &route, size_t bytes);
+    // Reserves the link for the next `bytes` of a response and returns the time at which they may
+    // be sent.
     steady_time reserve(size_t bytes, steady_time now);
-    // An answer ends with `bytes` of those announced not sent.
-    void abandon(size_t bytes);
+    // Records that a response ended with `bytes` of its announced size unsent.
+    void cancelBytes(size_t bytes);
 
     struct estimate
     {
-        // Until the answers under way have been sent.
-        std::chrono::nanoseconds backlog{0};
-        // What one more answer takes then.
-        std::chrono::nanoseconds own{0};
+        // Time until all responses in progress have been sent.
+        std::chrono::nanoseconds queueDelay{0};
+        // Time that one more response of the route takes after `queueDelay`.
+        std::chrono::nanoseconds sendTime{0};
     };
-    // Both are 0 for routes whose answers are small.
-    estimate expect(const std::string &route, steady_time now) const;
+    // Returns the estimate for a response of the route. Both times are 0 for a route that has had
+    // no large response.
+    estimate estimateFor(const std::string &route, steady_time now) const;
 
 private:
-    std::chrono::nanoseconds timeFor(double bytes) const;
-    // Until everything that is under way has been sent. Called with the mutex held.
-    std::chrono::nanoseconds backlog(steady_time now) const;
+    // Returns the time that the link takes for `bytes`; 0 if its rate is unknown.
+    std::chrono::nanoseconds transmissionTime(double bytes) const;
+    // Returns the time until all responses in progress have been sent. Must be called with the
+    // mutex held.
+    std::chrono::nanoseconds queueDelay(steady_time now) const;
 
     const double m_bytesPerSecond;
     mutable std::mutex m_mutex;
+    // End of all reservations.
     steady_time m_freeAt{};
-    // Of answers under way, not reserved yet.
+    // Bytes of responses in progress that have not been reserved yet.
     double m_pendingBytes = 0;
-    // Mean size of large answers by route.
+    // Moving average of the size of large responses, by route.
     std::map<std::string, double> m_sizes;
 };
 
--- a/src/persimmonrail/proxy/overload_throttle.cpp
+++ b/src/persimmonrail/proxy/overload_throttle.cpp
@@ -6,10 +6,10 @@
 namespace persimmonrail {
 namespace {
 
-// Records are looked through for faded ones beyond this number.
+// Decayed records are erased when there are more records than this.
 constexpr size_t maxRecords = 1024;
-// Weight below which a record says nothing.
-constexpr double faded = 0.01;
+// Records whose decayed counts sum to less than this are erased.
+constexpr double minRecordWeight = 0.01;
 
 } // namespace
 
@@ -17,71 +17,75 @@
     : m_options(options)
 { }
 
-void overload_throttle::fade(record &known, steady_time now) const
+void overload_throttle::decay(record &entry, steady_time now) const
 {
-    const double age = std::chrono::duration<double>(now - known.updatedAt).count();
-    const double memory = std::chrono::duration<double>(m_options.memory).count();
-    const double weight = std::exp(-std::max(age, 0.0) / memory);
-    known.accepted *= weight;
-    known.refused *= weight;
-    known.keptBack *= weight;
-    known.updatedAt = now;
+    const double age = std::chrono::duration<double>(now - entry.updatedAt).count();
+    const double decayTime = std::chrono::duration<double>(m_options.decayTime).count();
+    const double weight = std::exp(-std::max(age, 0.0) / decayTime);
+    entry.accepted *= weight;
+    entry.rejected *= weight;
+    entry.rejectedLocally *= weight;
+    entry.updatedAt = now;
 }
 
-overload_throttle::record &overload_throttle::recordOf(const kind &asked, steady_time now)
+overload_throttle::record &overload_throttle::findOrCreateRecord(const request_class &requestClass,
+                                                                 steady_time now)
 {
     if (m_records.size() > maxRecords) {
         std::erase_if(m_records, [&](const auto &item) {
-            record known = item.second;
-            fade(known, now);
-            return known.refused + known.keptBack < faded;
+            record entry = item.second;
+            decay(entry, now);
+            return entry.rejected + entry.rejectedLocally < minRecordWeight;
         });
     }
-    record &known = m_records.try_emplace(asked).first->second;
-    fade(known, now);
-    return known;
+    record &entry = m_records.try_emplace(requestClass).first->second;
+    decay(entry, now);
+    return entry;
 }
 
-std::optional<milliseconds> overload_throttle::keepBack(const kind &asked, double drawn,
-                                                        steady_time now)
+std::optional<milliseconds> overload_throttle::rejectLocally(const request_class &requestClass,
+                                                             double randomFraction, steady_time now)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_records.find(asked);
+    const auto found = m_records.find(requestClass);
     if (found == m_records.end()) {
         return std::nullopt;
     }
-    record &known = found->second;
-    fade(known, now);
-    const double demand = known.accepted + known.refused + known.keptBack;
-    const double excess = demand - m_options.sentPerAccepted * known.accepted;
-    if (known.refused + known.keptBack < m_options.minRefusals || drawn >= excess / (demand + 1)) {
+    record &entry = found->second;
+    decay(entry, now);
+    const double demand = entry.accepted + entry.rejected + entry.rejectedLocally;
+    const double excess = demand - m_options.sentPerAccepted * entry.accepted;
+    if (entry.rejected + entry.rejectedLocally < m_options.minRejections
+        || randomFraction >= excess / (demand + 1)) {
         return std::nullopt;
     }
-    ++known.keptBack;
-    return known.retryAfter;
+    ++entry.rejectedLocally;
+    return entry.retryAfter;
 }
 
-void overload_throttle::noteAccepted(const kind &asked, bool hasRoom, steady_time now)
+void overload_throttle::recordAccepted(const request_class &requestClass, bool hasCapacity,
+                                       steady_time now)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_records.find(asked);
+    const auto found = m_records.find(requestClass);
     if (found == m_records.end()) {
         return;
     }
-    if (hasRoom) {
+    if (hasCapacity) {
         m_records.erase(found);
         return;
     }
-    fade(found->second, now);
+    decay(found->second, now);
     ++found->second.accepted;
 }
 
-void overload_throttle::noteRefused(const kind &asked, milliseconds retryAfter, steady_time now)
+void overload_throttle::recordRejected(const request_class &requestClass, milliseconds retryAfter,
+                                       steady_time now)
 {
     const std::lock_guard lock(m_mutex);
-    record &known = recordOf(asked, now);
-    ++known.refused;
-    known.retryAfter = retryAfter;
+    record &entry = findOrCreateRecord(requestClass, now);
+    ++entry.rejected;
+    entry.retryAfter = retryAfter;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/proxy/overload_throttle.h
+++ b/src/persimmonrail/proxy/overload_throttle.h
@@ -12,30 +12,32 @@
 
 struct overload_throttle_options
 {
-    // Requests that are sent for each one that was accepted lately. Above 1, so that an upstream
-    // with room again gets more soon; what is above 1 is refused there at the price of a message.
+    // Requests sent to the upstream for each recently accepted one. A value above 1 lets an
+    // upstream with new capacity receive more requests soon; the upstream rejects the excess at the
+    // cost of a message.
     double sentPerAccepted = 1.5;
-    // Time after which an observation has lost most of its weight.
-    milliseconds memory{500};
-    // Refusals that must be remembered before anything is kept back.
-    double minRefusals = 2;
+    // Time constant of the exponential decay of observations.
+    milliseconds decayTime{500};
+    // Decayed number of rejections, by the upstream and by this daemon, below which no request is
+    // rejected locally.
+    double minRejections = 2;
 };
 
-// Keeps back requests that an overloaded upstream would very likely refuse, so that the daemon
-// beside it spends its processor on those it can serve. Every daemon decides by the answers to its
-// own requests; each kind of request counts for itself, since upstreams prefer urgent ones.
-// No clock. Thread safe.
+// Rejects requests locally that an overloaded upstream would very likely reject, so that the daemon
+// beside the upstream spends its CPU time on requests that it can serve. Each daemon decides from
+// the responses to its own requests. Each request class is counted separately, since upstreams
+// prefer urgent requests. Takes the time as an argument and reads no clock. Thread safe.
 class overload_throttle
 {
 public:
-    // Requests with the same place in the order of an upstream's queue.
-    struct kind
+    // Requests with the same position in the order of an upstream's queue.
+    struct request_class
     {
         // Empty for all upstreams of a service together.
         upstream_id upstream;
         int rank = 0;
         milliseconds objective{0};
-        bool operator<(const kind &other) const
+        bool operator<(const request_class &other) const
         {
             return std::tie(upstream, rank, objective)
                 < std::tie(other.upstream, other.rank, other.objective);
@@ -44,31 +46,37 @@
 
     explicit overload_throttle(overload_throttle_options options = {});
 
-    // Whether to keep back a request, and after which time another may be accepted. `drawn` is
+    // Decides whether to reject a request without sending it. Returns the time after which another
+    // request may be accepted, or nullopt if the request should be sent. `randomFraction` must be
     // uniform in [0, 1).
-    std::optional<milliseconds> keepBack(const kind &asked, double drawn, steady_time now);
-    // The upstream took a request. `hasRoom`: none waits there now, so nothing is kept back.
-    void noteAccepted(const kind &asked, bool hasRoom, steady_time now);
-    // The upstream refused a request as beyond its capacity.
-    void noteRefused(const kind &asked, milliseconds retryAfter, steady_time now);
+    std::optional<milliseconds> rejectLocally(const request_class &requestClass,
+                                              double randomFraction, steady_time now);
+    // Records that the upstream accepted a request. `hasCapacity` tells that the upstream has a
+    // free slot, which ends the throttling of the class.
+    void recordAccepted(const request_class &requestClass, bool hasCapacity, steady_time now);
+    // Records that the upstream rejected a request because it is overloaded.
+    void recordRejected(const request_class &requestClass, milliseconds retryAfter,
+                        steady_time now);
 
 private:
     struct record
     {
-        // Weighted numbers of requests that were taken, refused there, and kept back here.
+        // Exponentially decayed numbers of requests that the upstream accepted, that the upstream
+        // rejected, and that this daemon rejected.
         double accepted = 0;
-        double refused = 0;
-        double keptBack = 0;
+        double rejected = 0;
+        double rejectedLocally = 0;
         steady_time updatedAt{};
         milliseconds retryAfter{0};
     };
-    void fade(record &known, steady_time now) const;
-    record &recordOf(const kind &asked, steady_time now);
+    // Decays the counts of the record to `now`.
+    void decay(record &entry, steady_time now) const;
+    record &findOrCreateRecord(const request_class &requestClass, steady_time now);
 
     const overload_throttle_options m_options;
     std::mutex m_mutex;
-    // Only kinds that were refused lately.
-    std::map<kind, record> m_records;
+    // Only classes with recent rejections.
+    std::map<request_class, record> m_records;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/proxy/peer_client.cpp
+++ b/src/persimmonrail/proxy/peer_client.cpp
@@ -12,47 +12,51 @@
 namespace persimmonrail {
 namespace {
 
-// Each connection between daemons carries one request at a time and holds a thread at its peer, so
-// those that a burst needed are given up soon.
+// Each connection between daemons carries one request at a time and occupies a thread of its peer,
+// so connections opened for a burst are closed soon.
 constexpr size_t maxIdlePerPeer = 8;
-constexpr size_t maxIdleInAll = 64;
-constexpr milliseconds peerIdleTime{2000};
-// Between hosts a connection may go silent at any moment, and only a probe shows it. A daemon
-// closes idle connections of its peers late enough for this.
+constexpr size_t maxIdleConnections = 64;
+constexpr milliseconds peerIdleTimeout{2000};
+// A request that may not be repeated reuses a connection only if it has been idle for less than
+// this. The peer keeps idle connections open for longer. A connection between hosts may become
+// unresponsive at any time, and only a probe shows it.
 constexpr milliseconds peerFreshTime{2000};
-// A crossing of availability zones takes a few milliseconds, and the kernel accepts connections
-// even of a busy process. Calls that running requests wait for have a quarter of a second in all.
-constexpr milliseconds peerConnectTime{120};
-// After this time without progress, the peer is asked on a new connection whether it still has the
-// request.
+// Crossing between availability zones takes a few milliseconds, and the kernel accepts connections
+// even for a busy process. Calls that running requests wait for have a quarter of a second in all.
+constexpr milliseconds peerConnectTimeout{120};
+// After this time without progress, the client opens a new connection and asks the peer whether the
+// request is still in flight there.
 constexpr milliseconds progressTimeout{700};
 constexpr milliseconds probeTimeout{400};
-// Large answers leave in pieces of this size, so that a small one waits for one piece at most.
-constexpr size_t pacedBytes = 16 * 1024;
-// Shorter pauses are not worth waking up for; a fast link needs none.
-constexpr milliseconds minPause{2};
+// Large responses are sent in chunks of this size, so that a small response waits for at most one
+// chunk.
+constexpr size_t pacedChunkBytes = 16 * 1024;
+// Shorter delays do not justify a wake-up; a fast link needs none.
+constexpr milliseconds minPacingDelay{2};
 
-enum class probe_result { InFlight, Lost, Silent };
+enum class probe_result { InFlight, Lost, Unresponsive };
 
+// Asks the peer over a new connection whether a request is in flight there.
 probe_result probePeer(const std::string &address, const std::string &requestId)
 {
     connection_pool_options options;
     options.connectTime = probeTimeout;
-    http_client fresh(std::make_shared<connection_pool>(options));
-    const auto response = simpleRequest(fresh, address, "GET", proxyInFlightPath + requestId, "",
+    http_client client(std::make_shared<connection_pool>(options));
+    const auto response = simpleRequest(client, address, "GET", proxyInFlightPath + requestId, "",
                                         std::chrono::steady_clock::now() + probeTimeout);
     if (!response.ok()) {
-        return probe_result::Silent;
+        return probe_result::Unresponsive;
     }
     return response->status == 404 ? probe_result::Lost : probe_result::InFlight;
 }
 
-std::string milliText(std::chrono::nanoseconds time)
+std::string formatMilliseconds(std::chrono::nanoseconds time)
 {
     return absl::StrCat(std::chrono::duration_cast<milliseconds>(time).count());
 }
 
-void writeFields(Poco::Net::HTTPRequest &message, const proxied_request &request, steady_time now)
+void setForwardingFields(Poco::Net::HTTPRequest &message, const proxied_request &request,
+                         steady_time now)
 {
     removeOwnFields(message);
     message.set(requestIdHeader, request.requestId);
@@ -64,32 +68,33 @@
     message.set(objectiveHeader, absl::StrCat(request.objective.count()));
     message.set(rankHeader, absl::StrCat(request.rank));
     message.set(repeatableHeader, request.repeatable ? "1" : "0");
-    message.set(deadlineHeader, milliText(request.deadline - now));
-    message.set(targetLeftHeader, milliText(request.objectiveEnd - now));
+    message.set(deadlineHeader, formatMilliseconds(request.deadline - now));
+    message.set(objectiveLeftHeader, formatMilliseconds(request.objectiveEnd - now));
     if (request.key) {
         message.set(shardKeyHeader, absl::StrCat(*request.key));
     }
 }
 
 template <typename Number>
-bool readNumber(const Poco::Net::HTTPMessage &message, const char *name, Number &value)
+bool parseNumberField(const Poco::Net::HTTPMessage &message, const char *name, Number &value)
 {
     return absl::SimpleAtoi(message.get(name, ""), &value);
 }
 
-// Reads what a peer says of a request that no upstream answered.
-void readRefusal(const Poco::Net::HTTPResponse &head, proxy_result &result)
+// Fills `result` from a peer's response to a request for which the peer passes on no upstream
+// response.
+void readRejection(const Poco::Net::HTTPResponse &head, proxy_result &result)
 {
     const std::string outcome = head.get(outcomeHeader, "");
     result.reason =
         parseProxyReason(head.get(reasonHeader, "")).value_or(proxy_reason::BrokenResponse);
     int64_t retryAfter = 0;
-    if (readNumber(head, retryAfterHeader, retryAfter)) {
+    if (parseNumberField(head, retryAfterHeader, retryAfter)) {
         result.retryAfter = milliseconds(std::clamp<int64_t>(retryAfter, 0, 60'000));
     }
     result.outcome = outcome == toString(request_outcome::NotRun) ? request_outcome::NotRun
                                                                   : request_outcome::Unknown;
-    result.hasArrived = result.outcome == request_outcome::Unknown
+    result.hasReachedUpstream = result.outcome == request_outcome::Unknown
         || result.reason == proxy_reason::UpstreamRefused
         || result.reason == proxy_reason::KeyNotHeld;
 }
@@ -98,7 +103,7 @@
 
 peer_client::peer_client()
     : m_pool(std::make_shared<connection_pool>(connection_pool_options{
-        maxIdlePerPeer, maxIdleInAll, peerIdleTime, peerFreshTime, peerConnectTime}))
+        maxIdlePerPeer, maxIdleConnections, peerIdleTimeout, peerFreshTime, peerConnectTimeout}))
     , m_client(m_pool)
 { }
 
@@ -108,7 +113,7 @@
     client_request call;
     call.address = peerAddress;
     call.message = request.message;
-    writeFields(call.message, request, std::chrono::steady_clock::now());
+    setForwardingFields(call.message, request, std::chrono::steady_clock::now());
     call.body = exchange.framing().type == body_framing::kind::None ? nullptr : &exchange;
     if (call.body != nullptr) {
         const body_framing framing = call.body->framing();
@@ -123,13 +128,14 @@
     };
     call.progressTimeout = progressTimeout;
     call.probe = [&] {
-        const probe_result probed = probePeer(peerAddress, request.requestId);
-        if (probed == probe_result::Silent) {
-            m_silentPeers.mark(peerAddress, std::chrono::steady_clock::now());
+        const probe_result probeResult = probePeer(peerAddress, request.requestId);
+        if (probeResult == probe_result::Unresponsive) {
+            m_unresponsivePeers.mark(peerAddress, std::chrono::steady_clock::now());
         }
-        // A request that must not run twice waits for a silent peer until its deadline.
-        return probed == probe_result::Lost
-            || (probed == probe_result::Silent && request.repeatable);
+        // With an unresponsive peer, a request that is not repeatable waits until its deadline,
+        // since it must not run twice.
+        return probeResult == probe_result::Lost
+            || (probeResult == probe_result::Unresponsive && request.repeatable);
     };
     const exchange_result exchanged = m_client.exchange(call, sink);
     proxy_result result;
@@ -137,7 +143,7 @@
     result.callerDisconnected =
         exchanged.sinkGone || exchanged.state == exchange_state::CallerDisconnected;
     result.outcome = exchanged.anySent ? request_outcome::Unknown : request_outcome::NotRun;
-    result.hasArrived = exchanged.anySent;
+    result.hasReachedUpstream = exchanged.anySent;
     result.queue = parseQueueReport(exchanged.head.get(queueHeader, ""));
     switch (exchanged.state) {
     case exchange_state::Complete:
@@ -145,7 +151,7 @@
         result.status = exchanged.head.getStatus();
         break;
     case exchange_state::Declined:
-        readRefusal(exchanged.head, result);
+        readRejection(exchanged.head, result);
         break;
     case exchange_state::NotSent:
         result.reason = exchanged.deadlinePassed ? proxy_reason::DeadlineBeforeSend
@@ -184,22 +190,22 @@
     request.route = message.get(routeHeader, "");
     int64_t objective = 0;
     int64_t deadlineLeft = 0;
-    int64_t targetLeft = 0;
+    int64_t objectiveLeft = 0;
     if (request.requestId.empty() || request.service.empty() || request.upstream.isEmpty()
-        || !readNumber(message, upstreamStartHeader, request.upstream.startedAt)
-        || !readNumber(message, rankHeader, request.rank) || request.rank < 0
-        || !readNumber(message, objectiveHeader, objective)
-        || !readNumber(message, deadlineHeader, deadlineLeft)
-        || !readNumber(message, targetLeftHeader, targetLeft)) {
-        return absl::InvalidArgumentError("a field is missing or malformed");
+        || !parseNumberField(message, upstreamStartHeader, request.upstream.startedAt)
+        || !parseNumberField(message, rankHeader, request.rank) || request.rank < 0
+        || !parseNumberField(message, objectiveHeader, objective)
+        || !parseNumberField(message, deadlineHeader, deadlineLeft)
+        || !parseNumberField(message, objectiveLeftHeader, objectiveLeft)) {
+        return absl::InvalidArgumentError("a header field is missing or malformed");
     }
     request.objective = milliseconds(objective);
     request.deadline = now + milliseconds(deadlineLeft);
-    request.objectiveEnd = now + milliseconds(targetLeft);
+    request.objectiveEnd = now + milliseconds(objectiveLeft);
     if (message.has(shardKeyHeader)) {
         shard_key key = 0;
-        if (!readNumber(message, shardKeyHeader, key) || key > lastKey) {
-            return absl::InvalidArgumentError("malformed key");
+        if (!parseNumberField(message, shardKeyHeader, key) || key > lastKey) {
+            return absl::InvalidArgumentError("the header field of the shard key is malformed");
         }
         request.key = key;
     }
@@ -225,50 +231,51 @@
 
 proxy_sink::proxy_sink(server_exchange &exchange,
                        std::function<void(Poco::Net::HTTPResponse &head)> decorate,
-                       outbound_link *outbound, std::string route)
+                       outbound_link *outboundLink, std::string route)
     : m_exchange(exchange)
     , m_decorate(std::move(decorate))
-    , m_outbound(outbound)
+    , m_outboundLink(outboundLink)
     , m_route(std::move(route))
 { }
 
 proxy_sink::~proxy_sink()
 {
-    if (m_left > 0) {
-        m_outbound->pacer.abandon(m_left);
+    if (m_unsentBytes > 0) {
+        m_outboundLink->pacer.cancelBytes(m_unsentBytes);
     }
 }
 
-void proxy_sink::announce(size_t bytes)
+void proxy_sink::enterQueueIfLarge(size_t bytes)
 {
-    m_isLarge = m_outbound != nullptr && m_outbound->queue.isLarge(bytes);
+    m_isLarge = m_outboundLink != nullptr && m_outboundLink->queue.isLarge(bytes);
     if (m_isLarge) {
-        m_left = bytes;
-        m_outbound->pacer.begin(m_route, bytes);
-        m_permit = m_outbound->queue.enter();
+        m_unsentBytes = bytes;
+        m_outboundLink->pacer.beginResponse(m_route, bytes);
+        m_permit = m_outboundLink->queue.acquire();
     }
 }
 
-bool proxy_sink::awaitLink(size_t bytes)
+bool proxy_sink::waitForLink(size_t bytes)
 {
     const steady_time now = std::chrono::steady_clock::now();
-    const steady_time start = m_outbound->pacer.reserve(bytes, now);
-    m_left -= std::min(m_left, bytes);
-    if (m_permit != nullptr && m_permit->isOver(now)) {
+    const steady_time sendAt = m_outboundLink->pacer.reserve(bytes, now);
+    m_unsentBytes -= std::min(m_unsentBytes, bytes);
+    if (m_permit != nullptr && m_permit->hasExpired(now)) {
         m_permit.reset();
     }
-    return start - now < minPause || !m_exchange.connection().waitClosed(start);
+    return sendAt - now < minPacingDelay || !m_exchange.connection().waitClosed(sendAt);
 }
 
 bool proxy_sink::send(std::string_view bytes)
 {
-    while (m_isLarge && bytes.size() > pacedBytes) {
-        if (!awaitLink(pacedBytes) || !m_exchange.writeResponse(bytes.substr(0, pacedBytes))) {
+    while (m_isLarge && bytes.size() > pacedChunkBytes) {
+        if (!waitForLink(pacedChunkBytes)
+            || !m_exchange.writeResponse(bytes.substr(0, pacedChunkBytes))) {
             return false;
         }
-        bytes.remove_prefix(pacedBytes);
+        bytes.remove_prefix(pacedChunkBytes);
     }
-    return (!m_isLarge || awaitLink(bytes.size())) && m_exchange.writeResponse(bytes);
+    return (!m_isLarge || waitForLink(bytes.size())) && m_exchange.writeResponse(bytes);
 }
 
 bool proxy_sink::begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
@@ -282,7 +289,7 @@
     }
     const body_framing sent =
         isComplete ? body_framing{body_framing::kind::Length, first.size()} : framing;
-    announce(sent.type == body_framing::kind::Length ? sent.length : first.size());
+    enterQueueIfLarge(sent.type == body_framing::kind::Length ? sent.length : first.size());
     return m_exchange.beginResponse(response, sent) && send(first) && (!isComplete || finish());
 }
 
--- a/src/persimmonrail/proxy/peer_client.h
+++ b/src/persimmonrail/proxy/peer_client.h
@@ -13,50 +13,58 @@
 
 namespace persimmonrail {
 
-// Path under which a peer port tells whether a request is in flight there: 200 or 404.
+// Path on the peer port under which a daemon reports whether it runs a request for a peer: 200 if
+// it does, 404 if not.
 inline constexpr char proxyInFlightPath[] = "/v1/requests/";
 
-// Passes requests to the peer ports of other daemons, and decodes them there. Thread safe.
+// Forwards requests to the peer ports of other daemons. Thread safe.
 class peer_client
 {
 public:
     peer_client();
 
+    // Sends the request to the peer and passes the response of its upstream on to `sink`.
+    // `exchange` supplies the request body and is watched for the caller's disconnection. Blocks
+    // until the response has ended or the attempt has failed; probes the peer if there is no
+    // progress.
     proxy_result forward(const proxied_request &request, const std::string &peerAddress,
                          server_exchange &exchange, response_sink &sink);
-    bool isSilent(std::string_view address, steady_time now) const
+    // Returns whether the peer has recently failed to respond to a probe.
+    bool isUnresponsive(std::string_view address, steady_time now) const
     {
-        return m_silentPeers.contains(address, now);
+        return m_unresponsivePeers.contains(address, now);
     }
 
 private:
     std::shared_ptr<connection_pool> m_pool;
     http_client m_client;
-    silent_peers m_silentPeers;
+    silent_peers m_unresponsivePeers;
 };
 
-// Decodes the fields that forward() has set. Errors: InvalidArgument.
+// Decodes a request that forward() has sent, and removes the fields that forward() has set. Times
+// left in the fields count from `now`. Returns InvalidArgument if a field is missing or malformed.
 absl::StatusOr<proxied_request> readPeerRequest(const Poco::Net::HTTPRequest &message,
                                                 steady_time now);
-// Answers a request of another daemon that got no answer from the upstream.
+// Responds to another daemon's request for which there is no upstream response to pass on.
 void respondToPeer(server_exchange &exchange, const proxy_result &result);
 
-// What large answers share on their way out of this host.
+// State shared by all large responses that leave this host.
 struct outbound_link
 {
     large_response_queue queue;
     link_pacer pacer;
 };
 
-// Passes an answer on to a requester. Used by one thread.
+// Passes a response on to the requester. Used by one thread.
 class proxy_sink : public response_sink
 {
 public:
-    // `decorate` may set fields of the head before it is sent; may be empty. With `outbound`, which
-    // must outlive the object, a large answer of `route` waits for its turn and is paced.
+    // `decorate` may set fields of the head before it is sent; it may be empty. With
+    // `outboundLink`, which must outlive the object, a large response of `route` waits for a permit
+    // and is paced.
     proxy_sink(server_exchange &exchange,
                std::function<void(Poco::Net::HTTPResponse &head)> decorate,
-               outbound_link *outbound = nullptr, std::string route = {});
+               outbound_link *outboundLink = nullptr, std::string route = {});
     proxy_sink(const proxy_sink &) = delete;
     proxy_sink &operator=(const proxy_sink &) = delete;
     ~proxy_sink() override;
@@ -67,20 +75,23 @@
     bool finish() override;
 
 private:
-    // Takes a turn if the answer is large.
-    void announce(size_t bytes);
+    // Registers the response with the link and waits for a permit if `bytes` make the response
+    // large.
+    void enterQueueIfLarge(size_t bytes);
+    // Sends body bytes, paced if the response is large. Returns false if the requester has
+    // disconnected.
     bool send(std::string_view bytes);
-    // Waits until the link may take the bytes; false if the requester left meanwhile.
-    bool awaitLink(size_t bytes);
+    // Waits until the link may take `bytes`. Returns false if the requester disconnects first.
+    bool waitForLink(size_t bytes);
 
     server_exchange &m_exchange;
     const std::function<void(Poco::Net::HTTPResponse &head)> m_decorate;
-    outbound_link *m_outbound;
+    outbound_link *m_outboundLink;
     const std::string m_route;
     std::unique_ptr<large_response_queue::permit> m_permit;
     bool m_isLarge = false;
-    // Announced to the outlet and not sent yet.
-    size_t m_left = 0;
+    // Bytes that were announced to the pacer and for which no link time is reserved yet.
+    size_t m_unsentBytes = 0;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/proxy/peer_fields.h
+++ b/src/persimmonrail/proxy/peer_fields.h
@@ -4,8 +4,8 @@
 
 namespace persimmonrail {
 
-// Header fields between the daemon that takes a request and the one beside the upstream, besides
-// those of header_names.h.
+// Header fields of requests and responses between the daemon that receives a caller's request and
+// the daemon beside the upstream. header_names.h declares the other fields.
 inline constexpr char upstreamHeader[] = "Persimmonrail-Upstream";
 inline constexpr char upstreamStartHeader[] = "Persimmonrail-Upstream-Started-Ms";
 inline constexpr char serviceHeader[] = "Persimmonrail-Service";
@@ -13,13 +13,13 @@
 inline constexpr char shardKeyHeader[] = "Persimmonrail-Key";
 inline constexpr char repeatableHeader[] = "Persimmonrail-Repeatable";
 inline constexpr char routeHeader[] = "Persimmonrail-Route";
-// Time within which an answer has its full worth, in milliseconds.
+// Latency objective of the request, in milliseconds.
 inline constexpr char objectiveHeader[] = "Persimmonrail-Objective-Ms";
-// Time left until the answer loses its full worth, in milliseconds; negative once it has.
-inline constexpr char targetLeftHeader[] = "Persimmonrail-Target-Left-Ms";
-// "running,waiting,limit,service microseconds" of the upstream's queue.
+// Time left until the latency objective ends, in milliseconds; negative once it has ended.
+inline constexpr char objectiveLeftHeader[] = "Persimmonrail-Target-Left-Ms";
+// "running,waiting,limit,meanServiceTime" of the upstream's queue, the last in microseconds.
 inline constexpr char queueHeader[] = "Persimmonrail-Queue";
-// Time after which a refused request is worth another try, in milliseconds.
+// Time after which a rejected request may be retried, in milliseconds.
 inline constexpr char retryAfterHeader[] = "Persimmonrail-Retry-After-Ms";
 
 } // namespace persimmonrail
--- a/src/persimmonrail/proxy/proxy_reason.h
+++ b/src/persimmonrail/proxy/proxy_reason.h
@@ -7,48 +7,62 @@
 
 namespace persimmonrail {
 
-// Why the system itself ends a request, or one attempt at it.
+// Why a daemon, rather than the upstream, ends a request or one attempt at it.
 enum class proxy_reason {
     None,
-    // The request did not run and will not.
+
+    // Reasons for which the request did not run and will not run:
     NoDesiredState,
     NoRoute,
     MalformedRequest,
     MissingKey,
+    // No upstream of the service is known that may take the request.
     NoUpstream,
+    // The daemon's upstream does not own the key now.
     NotOwner,
+    // The request names another upstream than the local one.
     OtherUpstream,
+    // The upstream finishes its requests and takes no new ones.
     Draining,
+    // The daemon is stopping.
     Stopping,
     Overload,
-    // Not offered to the upstream, which refuses nearly all such requests now.
+    // Not sent to the upstream, which currently rejects nearly all such requests.
     OverloadExpected,
-    // Large answers queue for the link of the upstream's host.
+    // Large responses queue for the link of the upstream's host.
     LinkBusy,
     DeadlineUnreachable,
     PeerUnreachable,
+    // The peer has recently failed to respond to a probe.
     PeerSilent,
     UpstreamUnreachable,
+    // The upstream states that it did not run the request.
     UpstreamRefused,
+    // The upstream states that it is not the one named or does not own the key.
     KeyNotHeld,
     Quarantined,
+    // The deadline passed before the request was sent.
     DeadlineBeforeSend,
-    // The request may have run.
+
+    // Reasons for which the request may have run:
     NoResponse,
+    // The response was truncated, invalid, or not attributable to the upstream.
     BrokenResponse,
     MismatchedResponse,
     DeadlineExceeded,
     CallerDisconnected,
+    // The connection made no progress and was given up after a probe of the peer.
     SilentConnection,
 };
 
-// The word used in logs, metrics and the header between daemons.
+// Returns the word for the reason in logs, metrics and header fields.
 std::string_view toString(proxy_reason reason);
+// Returns nullopt if the word is unknown.
 std::optional<proxy_reason> parseProxyReason(std::string_view word);
 
-// Status of the answer that the system gives for a reason.
+// Returns the HTTP status of the daemon's own response for a reason and an outcome.
 int statusFor(proxy_reason reason, request_outcome outcome);
-// Whether the same request may succeed at another daemon, or here a little later.
+// Returns whether the same request may succeed at another daemon, or here a little later.
 bool isRetryable(proxy_reason reason);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/proxy/proxy_types.h
+++ b/src/persimmonrail/proxy/proxy_types.h
@@ -15,49 +15,55 @@
 
 namespace persimmonrail {
 
-// What the daemon beside the upstream needs to know of a request.
+// A request as it is forwarded to the daemon beside the upstream.
 struct proxied_request
 {
-    // Method, target and fields for the upstream, without fields of one connection.
+    // Method, URI and fields for the upstream, without fields of one connection.
     Poco::Net::HTTPRequest message{Poco::Net::HTTPMessage::HTTP_1_1};
     std::string requestId;
     std::string service;
-    // Name of the route that selected it.
+    // Name of the matching route.
     std::string route;
-    // The upstream that is to run it.
+    // The upstream that should run the request.
     upstream_id upstream;
-    // Service on whose host the request began.
+    // Service on whose host the request originated.
     std::string callerService;
+    // Set if the service is divided by key.
     std::optional<shard_key> key;
+    // Priority class; 0 is the most urgent.
     int rank = 0;
+    // Whether the request may run more than once.
     bool repeatable = false;
-    // After this moment nobody waits for the answer.
+    // The caller waits for the response until this time.
     steady_time deadline;
-    // Time within which an answer has its full worth, and the moment at which that time ends.
+    // Latency objective, and the time at which it ends.
     milliseconds objective{0};
     steady_time objectiveEnd;
-    // What the answer is expected to take on the link of the upstream's host.
-    link_pacer::estimate responseLink;
+    // Expected time of the response on the link of the upstream's host.
+    link_pacer::estimate linkEstimate;
 };
 
-// What one attempt at a request came to.
+// Result of one attempt at a request.
 struct proxy_result
 {
     request_outcome outcome = request_outcome::NotRun;
     proxy_reason reason = proxy_reason::None;
-    // Status of the upstream's answer, if there was one.
+    // HTTP status of the upstream's response; 0 if there was none.
     int status = 0;
-    // Time after which a refused request is worth another try; 0 if unknown.
+    // Time after which a rejected request may be retried; 0 if unknown.
     milliseconds retryAfter{0};
-    // Bytes of an answer went to the requester, so no other answer can follow.
+    // Whether bytes of a response were sent to the requester, so that no other response can follow.
     bool responseStarted = false;
+    // Whether the requester disconnected before the response was complete.
     bool callerDisconnected = false;
-    // The request reached the upstream, whether that ran it or refused it.
-    bool hasArrived = false;
+    // Whether the request may have reached the upstream, even if the upstream rejected it.
+    bool hasReachedUpstream = false;
+    // Queue of the upstream after the attempt; nullopt if unknown.
     std::optional<queue_report> queue;
 };
 
-inline proxy_result notRun(proxy_reason reason, milliseconds retryAfter = milliseconds(0))
+// Returns the result of a request that did not run for this reason.
+inline proxy_result notRunResult(proxy_reason reason, milliseconds retryAfter = milliseconds(0))
 {
     proxy_result result;
     result.reason = reason;
--- a/src/persimmonrail/proxy/request_proxy.cpp
+++ b/src/persimmonrail/proxy/request_proxy.cpp
@@ -14,9 +14,9 @@
 namespace persimmonrail {
 namespace {
 
-// With less time left, another attempt has hardly a chance.
+// Another attempt is very unlikely to succeed with less time left.
 constexpr milliseconds minTimeForAttempt{15};
-// A request that says nothing of its caller's patience.
+// For requests that state no timeout.
 constexpr milliseconds defaultTimeout{30000};
 constexpr milliseconds minRetryAfter{50};
 
@@ -25,12 +25,14 @@
     return std::chrono::steady_clock::now();
 }
 
+// Returns whether the reason suggests that the key is moving to another owner.
 bool isKeyMoving(proxy_reason reason)
 {
     return reason == proxy_reason::NotOwner || reason == proxy_reason::OtherUpstream
         || reason == proxy_reason::KeyNotHeld || reason == proxy_reason::Draining;
 }
 
+// Counts a request in flight during its lifetime.
 class in_flight_guard
 {
 public:
@@ -49,100 +51,104 @@
 
 } // namespace
 
-// One request of a caller on its way through this daemon. Used by the thread of its connection.
+// Serves one request of a caller. Used by the thread of its connection.
 class proxied_call
 {
 public:
-    proxied_call(request_proxy &path, server_exchange &exchange)
-        : m_proxy(path)
+    proxied_call(request_proxy &proxy, server_exchange &exchange)
+        : m_proxy(proxy)
         , m_exchange(exchange)
-        , m_start(clockNow())
+        , m_startedAt(clockNow())
     { }
 
     void serve()
     {
-        proxy_result result = prepare();
+        proxy_result result = resolveRoute();
         if (result.reason == proxy_reason::None) {
-            result = attemptUntilDone();
+            result = attemptWithRetries();
         }
         finish(result);
     }
 
 private:
-    // Reads the request and finds its route. A reason other than None ends the request.
-    proxy_result prepare()
+    // Parses the request, finds its route and fills m_request. A reason other than None ends the
+    // request.
+    proxy_result resolveRoute()
     {
-        const caller_fields call = m_proxy.m_codec.readCall(m_exchange.request());
-        m_request.requestId = call.requestId;
+        const caller_fields fields = m_proxy.m_codec.readCall(m_exchange.request());
+        m_request.requestId = fields.requestId;
         m_request.callerService = m_proxy.m_options.callerService;
         m_request.message = m_exchange.request();
         removeConnectionFields(m_request.message);
         removeOwnFields(m_request.message);
         m_table = m_proxy.m_hooks.routes();
         if (m_table == nullptr) {
-            return notRun(proxy_reason::NoDesiredState, milliseconds(500));
+            return notRunResult(proxy_reason::NoDesiredState, milliseconds(500));
         }
         const auto &head = m_exchange.request();
         m_route = m_table->find(head.getHost(), head.getURI());
         if (m_route == nullptr) {
-            return notRun(proxy_reason::NoRoute);
+            return notRunResult(proxy_reason::NoRoute);
         }
-        if (call.isMalformed || call.requestId.empty()) {
-            return notRun(proxy_reason::MalformedRequest);
+        if (fields.isMalformed || fields.requestId.empty()) {
+            return notRunResult(proxy_reason::MalformedRequest);
         }
-        m_request.service = chooseTrafficShare(*m_route, m_proxy.draw()).service;
+        m_request.service = chooseTrafficShare(*m_route, m_proxy.randomBits()).service;
         const service_rule *rule = m_table->findService(m_request.service);
         if (rule != nullptr && rule->isKeyed) {
-            if (!call.key) {
-                return notRun(proxy_reason::MissingKey);
+            if (!fields.key) {
+                return notRunResult(proxy_reason::MissingKey);
             }
-            m_request.key = call.key;
+            m_request.key = fields.key;
         }
         m_request.route = m_route->name;
         m_request.objective = m_route->objective;
         m_request.rank = m_route->rank;
         m_request.repeatable = m_route->repeatable;
-        const milliseconds timeout = call.timeout.value_or(defaultTimeout);
-        m_request.deadline = m_start + std::min(timeout, m_route->timeout);
-        m_request.objectiveEnd = m_start + m_route->objective;
+        const milliseconds timeout = fields.timeout.value_or(defaultTimeout);
+        m_request.deadline = m_startedAt + std::min(timeout, m_route->timeout);
+        m_request.objectiveEnd = m_startedAt + m_route->objective;
         return {};
     }
 
-    proxy_result attemptUntilDone()
+    // Attempts the request until it succeeds, can't be retried, or the retry budget is spent.
+    proxy_result attemptWithRetries()
     {
-        auto &service = m_proxy.stateOf(m_request.service, m_start);
-        service.retries.recordFirstAttempt(m_start);
-        const steady_time ownerDeadline = m_start + m_proxy.m_options.ownerPatience;
-        proxy_result result = notRun(proxy_reason::NoUpstream);
-        int arrivals = 0;
+        auto &service = m_proxy.findOrCreateService(m_request.service, m_startedAt);
+        service.retries.recordFirstAttempt(m_startedAt);
+        const steady_time ownerDeadline = m_startedAt + m_proxy.m_options.maxOwnerWait;
+        proxy_result result = notRunResult(proxy_reason::NoUpstream);
+        int sentAttempts = 0;
         for (;;) {
             const steady_time now = clockNow();
-            // Also seen while the body of the request is unread.
+            // The disconnection of the caller is detected even while the request body is unread.
             if (m_exchange.connection().waitClosed(now)) {
                 return callerDisconnected(result);
             }
-            if (arrivals > 0 && !service.retries.tryRetry(now)) {
-                m_budgetSpent = true;
+            if (sentAttempts > 0 && !service.retries.tryRetry(now)) {
+                m_isRetryBudgetSpent = true;
                 return result;
             }
-            const proxy_result attempted = attempt(service, now);
-            if (attempted.reason != proxy_reason::NoUpstream || arrivals == 0) {
-                // An earlier attempt that may have run decides what the caller is told.
-                const bool mayHaveRun = m_mayHaveRun;
+            const proxy_result attempted = attemptOnce(service, now);
+            if (attempted.reason != proxy_reason::NoUpstream || sentAttempts == 0) {
+                // If an earlier attempt may have run, the caller must not be told that the request
+                // did not run.
+                const bool hadUnknownOutcome = m_hasUnknownOutcome;
                 result = attempted;
-                if (mayHaveRun && result.outcome == request_outcome::NotRun) {
+                if (hadUnknownOutcome && result.outcome == request_outcome::NotRun) {
                     result.outcome = request_outcome::Unknown;
                 }
             }
-            m_mayHaveRun = m_mayHaveRun || attempted.outcome == request_outcome::Unknown;
-            arrivals += attempted.hasArrived ? 1 : 0;
-            if (!mayContinue(attempted, arrivals)) {
+            m_hasUnknownOutcome =
+                m_hasUnknownOutcome || attempted.outcome == request_outcome::Unknown;
+            sentAttempts += attempted.hasReachedUpstream ? 1 : 0;
+            if (!canRetry(attempted, sentAttempts)) {
                 return result;
             }
             if (m_request.key) {
-                if (clockNow() + m_proxy.m_options.ownerPause >= ownerDeadline
+                if (clockNow() + m_proxy.m_options.ownerRetryDelay >= ownerDeadline
                     || m_exchange.connection().waitClosed(clockNow()
-                                                          + m_proxy.m_options.ownerPause)) {
+                                                          + m_proxy.m_options.ownerRetryDelay)) {
                     return result;
                 }
             } else if (attempted.reason == proxy_reason::NoUpstream) {
@@ -151,7 +157,8 @@
         }
     }
 
-    // Nobody is told how the request ended; an attempt before may have run.
+    // Keeps the outcome for the metrics, since an earlier attempt may have run. The caller gets no
+    // response.
     static proxy_result callerDisconnected(proxy_result result)
     {
         result.reason = proxy_reason::CallerDisconnected;
@@ -159,7 +166,8 @@
         return result;
     }
 
-    bool mayContinue(const proxy_result &result, int arrivals)
+    // Returns whether another attempt may follow, and rewinds the request body for it.
+    bool canRetry(const proxy_result &result, int sentAttempts)
     {
         if (result.outcome == request_outcome::Run || result.responseStarted
             || result.callerDisconnected || clockNow() + minTimeForAttempt >= m_request.deadline) {
@@ -172,41 +180,42 @@
         if (result.outcome == request_outcome::NotRun && !isRetryable(result.reason)) {
             return false;
         }
-        if (m_refusedOffers >= m_proxy.m_options.maxOffers
+        if (m_overloadRejections >= m_proxy.m_options.maxOverloadRejections
             || result.reason == proxy_reason::OverloadExpected) {
             return false;
         }
-        // A key has one owner. Waiting for it helps only while the key moves; a full queue, a lost
-        // host or one that starts again takes longer than a caller should be held.
+        // A key has one owner. Waiting for the owner helps only while the key moves; a full queue,
+        // a lost host or a restart takes longer than a caller should wait.
         if (m_request.key && !isKeyMoving(result.reason)) {
             return false;
         }
-        return arrivals < m_route->maxAttempts
+        return sentAttempts < m_route->maxAttempts
             && (m_exchange.framing().type == body_framing::kind::None || m_exchange.rewind());
     }
 
-    // Chooses an upstream and tries the request there.
-    proxy_result attempt(request_proxy::service_state &service, steady_time now)
+    // Chooses an upstream and sends the request to it once.
+    proxy_result attemptOnce(request_proxy::service_state &service, steady_time now)
     {
         const auto directory = m_proxy.m_hooks.directory();
         const upstream_member *member =
-            m_request.key ? ownerOf(*directory, service) : anyOf(*directory, service, now);
+            m_request.key ? findOwner(*directory, service) : pickUpstream(*directory, service, now);
         if (member == nullptr) {
-            return notRun(proxy_reason::NoUpstream);
+            return notRunResult(proxy_reason::NoUpstream);
         }
         m_request.upstream = member->id;
         if (m_request.key && service.picker.isPenalized(member->id, now)) {
             service.picker.finish(member->id, upstream_picker::result::Neutral, std::nullopt, now);
-            return notRun(proxy_reason::PeerUnreachable);
+            return notRunResult(proxy_reason::PeerUnreachable);
         }
         const bool isLocal = member->id == m_proxy.m_dispatcher.local().id;
-        const overload_throttle::kind kind = loadKind(member->id);
+        const overload_throttle::request_class requestClass = throttleClass(member->id);
         if (!isLocal) {
-            if (const auto pause = service.throttle.keepBack(kind, m_proxy.drawShare(), now)) {
+            if (const auto retryAfter =
+                    service.throttle.rejectLocally(requestClass, m_proxy.randomFraction(), now)) {
                 service.picker.finish(member->id, upstream_picker::result::Neutral, std::nullopt,
                                       now);
                 m_tried.push_back(member->id);
-                return notRun(proxy_reason::OverloadExpected, *pause);
+                return notRunResult(proxy_reason::OverloadExpected, *retryAfter);
             }
         }
         const steady_time sentAt = clockNow();
@@ -215,22 +224,22 @@
             proxy_sink sink(m_exchange, {});
             result = m_proxy.m_dispatcher.dispatch(m_request, m_exchange, sink);
             result.queue = m_proxy.m_dispatcher.queue();
-        } else if (m_proxy.m_peers.isSilent(member->peerAddress, now)) {
-            result = notRun(proxy_reason::PeerSilent);
+        } else if (m_proxy.m_peers.isUnresponsive(member->peerAddress, now)) {
+            result = notRunResult(proxy_reason::PeerSilent);
         } else {
             proxy_sink sink(m_exchange, {});
             result = m_proxy.m_peers.forward(m_request, member->peerAddress, m_exchange, sink);
-            noteLoad(service.throttle, kind, result);
-            m_refusedOffers += result.reason == proxy_reason::Overload ? 1 : 0;
+            recordLoad(service.throttle, requestClass, result);
+            m_overloadRejections += result.reason == proxy_reason::Overload ? 1 : 0;
         }
-        const bool failed = result.reason == proxy_reason::PeerUnreachable
+        const bool isFailure = result.reason == proxy_reason::PeerUnreachable
             || result.reason == proxy_reason::PeerSilent
             || result.reason == proxy_reason::SilentConnection
             || result.reason == proxy_reason::NoResponse
             || result.reason == proxy_reason::OtherUpstream
             || result.reason == proxy_reason::UpstreamUnreachable;
         service.picker.finish(member->id,
-                              failed                          ? upstream_picker::result::Failed
+                              isFailure                       ? upstream_picker::result::Failed
                                   : result.callerDisconnected ? upstream_picker::result::Neutral
                                                               : upstream_picker::result::Reached,
                               result.queue, clockNow());
@@ -239,46 +248,52 @@
         return result;
     }
 
-    // A key has one owner. Other requests go to any upstream, and each daemon sees each of many too
-    // seldom to learn its load, so all of the service count together.
-    overload_throttle::kind loadKind(const upstream_id &upstream) const
+    // Requests with a key are throttled per owner. Other requests may go to any upstream, and a
+    // daemon with many upstreams contacts each too seldom to learn its load, so all upstreams of
+    // the service are counted together.
+    overload_throttle::request_class throttleClass(const upstream_id &upstream) const
     {
         return {m_request.key ? upstream : upstream_id(), m_request.rank, m_request.objective};
     }
 
-    void noteLoad(overload_throttle &throttle, const overload_throttle::kind &kind,
-                  const proxy_result &result) const
+    void recordLoad(overload_throttle &throttle,
+                    const overload_throttle::request_class &requestClass,
+                    const proxy_result &result) const
     {
         if (result.reason == proxy_reason::Overload) {
-            throttle.noteRefused(kind, result.retryAfter, clockNow());
+            throttle.recordRejected(requestClass, result.retryAfter, clockNow());
         } else if (result.outcome == request_outcome::Run) {
-            // Room at one upstream says nothing of the others.
-            const bool hasRoom = m_request.key && result.queue && result.queue->waiting == 0
+            // Free capacity at one upstream does not imply free capacity at the others.
+            const bool hasCapacity = m_request.key && result.queue && result.queue->waiting == 0
                 && result.queue->running < result.queue->limit;
-            throttle.noteAccepted(kind, hasRoom, clockNow());
+            throttle.recordAccepted(requestClass, hasCapacity, clockNow());
         }
     }
 
-    const upstream_member *ownerOf(const fleet_directory &directory,
-                                   request_proxy::service_state &service) const
+    // Returns the owner of the key and counts a request on it. Returns null if the owner is unknown
+    // or does not serve the key yet.
+    const upstream_member *findOwner(const fleet_directory &directory,
+                                     request_proxy::service_state &service) const
     {
-        const fleet_directory::versioned_placement *placed =
+        const fleet_directory::versioned_placement *versionedPlacement =
             directory.findPlacement(m_request.service);
-        if (placed == nullptr) {
+        if (versionedPlacement == nullptr) {
             return nullptr;
         }
-        const owned_range &range = placed->placement.rangeOf(*m_request.key);
-        const auto *known = directory.findMember(range.owner.name);
-        if (known == nullptr || known->member.id != range.owner
+        const owned_range &range = versionedPlacement->placement.rangeOf(*m_request.key);
+        const auto *versionedMember = directory.findMember(range.owner.name);
+        if (versionedMember == nullptr || versionedMember->member.id != range.owner
             || range.takeOverAfter.count() > 0) {
             return nullptr;
         }
         service.picker.begin(range.owner);
-        return &known->member;
+        return &versionedMember->member;
     }
 
-    const upstream_member *anyOf(const fleet_directory &directory,
-                                 request_proxy::service_state &service, steady_time now) const
+    // Returns an upstream that is not draining and has not been tried; null if there is none.
+    const upstream_member *pickUpstream(const fleet_directory &directory,
+                                        request_proxy::service_state &service,
+                                        steady_time now) const
     {
         std::vector<const upstream_member *> members = directory.membersOf(m_request.service);
         std::erase_if(members, [](const upstream_member *member) { return member->isDraining; });
@@ -304,11 +319,12 @@
         m_proxy.m_log.write(entry);
     }
 
+    // Records the metrics of the request, and responds and logs if it failed.
     void finish(const proxy_result &result)
     {
         const steady_time now = clockNow();
         const std::string rank = std::to_string(m_request.rank);
-        m_proxy.m_metrics.recordLatency(m_request.service, rank, result.outcome, now - m_start);
+        m_proxy.m_metrics.recordLatency(m_request.service, rank, result.outcome, now - m_startedAt);
         if (result.outcome == request_outcome::Run || result.responseStarted
             || result.callerDisconnected) {
             return;
@@ -326,12 +342,12 @@
         head.setContentType("text/plain");
         head.set(reasonHeader, std::string(toString(result.reason)));
         if (result.outcome == request_outcome::NotRun && head.getStatus() == 503) {
-            const milliseconds pause =
+            const milliseconds retryAfter =
                 std::max(minRetryAfter,
                          result.retryAfter.count() > 0 ? result.retryAfter
                                                        : m_proxy.m_options.defaultRetryAfter);
             head.set("Retry-After",
-                     absl::StrFormat("%.3f", std::chrono::duration<double>(pause).count()));
+                     absl::StrFormat("%.3f", std::chrono::duration<double>(retryAfter).count()));
         }
         m_exchange.respond(head, absl::StrCat(toAbsl(toString(result.reason)), "\n"));
     }
@@ -346,9 +362,9 @@
         entry.term = m_table ? m_table->version() : 0;
         entry.outcome = toString(result.outcome);
         const std::string reason = absl::StrCat(
-            toAbsl(toString(result.reason)), m_budgetSpent ? ",retry-budget-spent" : "",
+            toAbsl(toString(result.reason)), m_isRetryBudgetSpent ? ",retry-budget-spent" : "",
             ",attempts:", m_tried.size(), ",took_us:",
-            std::chrono::duration_cast<std::chrono::microseconds>(now - m_start).count(),
+            std::chrono::duration_cast<std::chrono::microseconds>(now - m_startedAt).count(),
             ",route:", m_route ? m_route->name : std::string("none"));
         entry.reason = reason;
         m_proxy.m_log.write(entry);
@@ -356,15 +372,15 @@
 
     request_proxy &m_proxy;
     server_exchange &m_exchange;
-    const steady_time m_start;
+    const steady_time m_startedAt;
     std::shared_ptr<const route_table> m_table;
     const route *m_route = nullptr;
     proxied_request m_request;
     std::vector<upstream_id> m_tried;
-    // Attempts that other daemons refused as beyond their upstream's capacity.
-    int m_refusedOffers = 0;
-    bool m_mayHaveRun = false;
-    bool m_budgetSpent = false;
+    // Attempts that other daemons rejected because their upstream is overloaded.
+    int m_overloadRejections = 0;
+    bool m_hasUnknownOutcome = false;
+    bool m_isRetryBudgetSpent = false;
 };
 
 request_proxy::service_state::service_state(const request_proxy_options &options,
@@ -382,24 +398,25 @@
     , m_dispatcher(dispatcher)
     , m_log(log)
     , m_metrics(values)
-    , m_outbound{large_response_queue(),
-                 link_pacer(m_options.linkBytesPerSecond * m_options.largeShare)}
+    , m_outboundLink{large_response_queue(),
+                     link_pacer(m_options.linkBytesPerSecond * m_options.largeResponseShare)}
     , m_random(m_hooks.makeRandom())
 { }
 
-uint64_t request_proxy::draw()
+uint64_t request_proxy::randomBits()
 {
     const std::lock_guard lock(m_mutex);
     return m_random();
 }
 
-double request_proxy::drawShare()
+double request_proxy::randomFraction()
 {
-    // The upper 53 bits fill the mantissa of a double.
-    return static_cast<double>(draw() >> 11U) * 0x1.0p-53;
+    // A double has a mantissa of 53 bits.
+    return static_cast<double>(randomBits() >> 11U) * 0x1.0p-53;
 }
 
-request_proxy::service_state &request_proxy::stateOf(const std::string &service, steady_time now)
+request_proxy::service_state &request_proxy::findOrCreateService(const std::string &service,
+                                                                 steady_time now)
 {
     const std::lock_guard lock(m_mutex);
     auto &state = m_services[service];
@@ -423,16 +440,16 @@
     const std::string &uri = exchange.request().getURI();
     if (uri.starts_with(proxyInFlightPath)) {
         const std::lock_guard lock(m_mutex);
-        const bool known = m_peerRequests.contains(uri.substr(sizeof(proxyInFlightPath) - 1));
-        exchange.respond(known ? 200 : 404, "", "text/plain");
+        const bool isInFlight = m_peerRequests.contains(uri.substr(sizeof(proxyInFlightPath) - 1));
+        exchange.respond(isInFlight ? 200 : 404, "", "text/plain");
         return;
     }
     const in_flight_guard guard(m_inFlight);
     auto request = readPeerRequest(exchange.request(), clockNow());
     if (!request.ok()) {
         m_log.write(log_level::Warn,
-                    absl::StrCat("peer request ignored: ", request.status().message()));
-        respondToPeer(exchange, notRun(proxy_reason::MalformedRequest));
+                    absl::StrCat("rejected a request from a peer: ", request.status().message()));
+        respondToPeer(exchange, notRunResult(proxy_reason::MalformedRequest));
         return;
     }
     {
@@ -443,8 +460,8 @@
         head.set(outcomeHeader, std::string(toString(request_outcome::Run)));
         head.set(queueHeader, encodeQueueReport(m_dispatcher.queue()));
     };
-    proxy_sink sink(exchange, decorate, &m_outbound, request->route);
-    request->responseLink = m_outbound.pacer.expect(request->route, clockNow());
+    proxy_sink sink(exchange, decorate, &m_outboundLink, request->route);
+    request->linkEstimate = m_outboundLink.pacer.estimateFor(request->route, clockNow());
     proxy_result result = m_dispatcher.dispatch(*request, exchange, sink);
     {
         const std::lock_guard lock(m_mutex);
--- a/src/persimmonrail/proxy/request_proxy.h
+++ b/src/persimmonrail/proxy/request_proxy.h
@@ -25,38 +25,43 @@
 
 struct request_proxy_options
 {
-    // Service of the upstream on this host, on whose behalf callers here ask.
+    // Service of the local upstream, which is also the service of callers on this host.
     std::string callerService;
     std::string availabilityZone;
-    // Pause before a key is looked up again whose owner does not serve it yet.
-    milliseconds ownerPause{60};
-    // Longest wait for the owner of a key to begin serving it. A planned move takes less; longer
-    // losses are refused, so that the caller learns when to come back.
-    milliseconds ownerPatience{400};
-    // For refusals of which nothing tells how long their cause lasts.
+    // Delay before a retry for a key whose owner does not serve it yet.
+    milliseconds ownerRetryDelay{60};
+    // Longest wait for the owner of a key to begin serving the key. A planned move takes less time.
+    // Requests are rejected if the owner is lost for longer, so that the caller learns when to
+    // retry.
+    milliseconds maxOwnerWait{400};
+    // Retry-After of rejections whose cause lasts for an unknown time.
     milliseconds defaultRetryAfter{250};
-    // Upstreams that may refuse one request as beyond their capacity. Each refusal costs two
-    // daemons a message, and where this many have no room, others seldom have.
-    int maxOffers = 3;
+    // Attempts at one request that may be rejected because the upstream is overloaded. Each
+    // rejection costs two daemons a message, and when this many upstreams have no capacity, others
+    // seldom have.
+    int maxOverloadRejections = 3;
     retry_budget_options retries;
-    // What the link of this host carries; 0 if unknown.
+    // Bandwidth of this host's link; 0 if unknown.
     double linkBytesPerSecond = 0;
-    // Part of it that large answers use; the rest is for small ones and what frames cost.
-    double largeShare = 0.95;
+    // Share of the bandwidth that large responses use. The rest is for small responses and framing
+    // overhead.
+    double largeResponseShare = 0.95;
 };
 
+// Access to the state of the daemon. All functions must be thread safe.
 struct request_proxy_hooks
 {
-    // Null while no desired state is known.
+    // Returns null while no desired state is known.
     std::function<std::shared_ptr<const route_table>()> routes;
+    // Returns the current members and placements.
     std::function<std::shared_ptr<const fleet_directory>()> directory;
-    // Whether the daemon stops: answers then close their connections.
+    // Returns whether the daemon is stopping; responses then close their connections.
     std::function<bool()> isStopping;
     std::function<random_source()> makeRandom;
 };
 
-// Takes requests of callers to the upstreams that may run them, through the daemons beside those.
-// Thread safe; each request runs on the thread of its connection.
+// Proxies callers' requests to upstreams through the daemons beside them, and other daemons'
+// requests to the local upstream. Thread safe; each request runs on the thread of its connection.
 class request_proxy
 {
 public:
@@ -64,16 +69,18 @@
     request_proxy(request_proxy_options options, request_proxy_hooks hooks, exchange_codec codec,
                   upstream_dispatcher &dispatcher, decision_log &log, metrics &values);
 
-    // Request of a caller on this host.
+    // Serves a request of a caller on this host.
     void serveCaller(server_exchange &exchange);
-    // Request passed on by another daemon for the upstream on this host.
+    // Serves a request that another daemon has forwarded for the local upstream, or a probe of a
+    // request in flight.
     void servePeer(server_exchange &exchange);
-    // Requests that are being served.
+    // Returns the number of requests that are being served.
     int inFlight() const { return m_inFlight; }
 
 private:
     friend class proxied_call;
 
+    // State of the requests to one service.
     struct service_state
     {
         explicit service_state(const request_proxy_options &options, random_source random,
@@ -82,10 +89,11 @@
         overload_throttle throttle;
         retry_budget retries;
     };
-    service_state &stateOf(const std::string &service, steady_time now);
-    uint64_t draw();
-    // Uniform in [0, 1).
-    double drawShare();
+    service_state &findOrCreateService(const std::string &service, steady_time now);
+    // Returns 64 random bits.
+    uint64_t randomBits();
+    // Returns a uniformly distributed number in [0, 1).
+    double randomFraction();
 
     const request_proxy_options m_options;
     const request_proxy_hooks m_hooks;
@@ -94,14 +102,14 @@
     decision_log &m_log;
     metrics &m_metrics;
     peer_client m_peers;
-    // Of answers that leave this host.
-    outbound_link m_outbound;
+    // Shared by large responses to other daemons.
+    outbound_link m_outboundLink;
     std::atomic<int> m_inFlight{0};
     // Guards the members below.
     std::mutex m_mutex;
     random_source m_random;
     std::map<std::string, std::unique_ptr<service_state>> m_services;
-    // Ids of requests that run here on behalf of other daemons.
+    // IDs of requests that run here on behalf of other daemons.
     std::multiset<std::string, std::less<>> m_peerRequests;
 };
 
--- a/src/persimmonrail/proxy/slot_queue.cpp
+++ b/src/persimmonrail/proxy/slot_queue.cpp
@@ -26,26 +26,28 @@
     return a.rank != b.rank ? a.rank < b.rank : a.objective < b.objective;
 }
 
-double slot_queue::serviceOf(const std::string &kind) const
+double slot_queue::serviceTimeOf(const std::string &route) const
 {
-    const auto known = m_service.find(kind);
-    return known == m_service.end() ? seconds(m_options.assumedService) : known->second;
+    const auto entry = m_serviceTimes.find(route);
+    return entry == m_serviceTimes.end() ? seconds(m_options.initialServiceTime) : entry->second;
 }
 
 double slot_queue::expectedWait(const slot_request &request, steady_time now) const
 {
-    // Slots that this request may use: the others serve what comes before it in the order.
-    const int usable = std::max(1, m_slots - slotsBefore(request));
-    // Times at which these become free, soonest first; each request ahead takes the next one.
+    // Slots that this request may use. The remaining slots serve requests that come earlier in the
+    // order.
+    const int usable = std::max(1, m_slots - slotsNeededBefore(request));
+    // Times until the usable slots become free, soonest first. Each waiting request ahead takes the
+    // next slot.
     std::priority_queue<double, std::vector<double>, std::greater<>> freeAt;
     for (const auto &[id, running] : m_running) {
         if (isBefore(running.request, request)) {
             continue;
         }
-        // What is left of a request that runs longer than usual is unknown; a part of the usual
-        // time is assumed.
-        const double usual = serviceOf(running.request.kind);
-        freeAt.push(std::max(usual - seconds(now - running.startedAt), usual / 4));
+        // The remaining time of a request that has run for longer than its mean is unknown; a
+        // quarter of the mean is assumed.
+        const double meanTime = serviceTimeOf(running.request.route);
+        freeAt.push(std::max(meanTime - seconds(now - running.startedAt), meanTime / 4));
     }
     while (freeAt.size() > static_cast<size_t>(usable)) {
         freeAt.pop();
@@ -54,11 +56,11 @@
          ++slot) {
         freeAt.push(0);
     }
-    // More urgent work holds all slots at this moment.
+    // Requests earlier in the order hold all slots at this moment.
     if (freeAt.empty()) {
-        freeAt.push(m_meanService);
+        freeAt.push(m_meanServiceTime);
     }
-    double equalAhead = 1;
+    double equalPosition = 1;
     bool earlierWaits = false;
     bool laterWaits = false;
     for (const waiting_request &waiting : m_waiting) {
@@ -66,65 +68,67 @@
         const bool isLater = isBefore(request, waiting.request);
         earlierWaits = earlierWaits || isEarlier;
         laterWaits = laterWaits || isLater;
-        equalAhead += isEarlier || isLater ? 0 : 1;
+        equalPosition += isEarlier || isLater ? 0 : 1;
         if (!isLater) {
-            const double start = freeAt.top();
+            const double startTime = freeAt.top();
             freeAt.pop();
-            freeAt.push(start + serviceOf(waiting.request.kind));
+            freeAt.push(startTime + serviceTimeOf(waiting.request.route));
         }
     }
-    const double turns = m_options.laterTurn;
-    const double inOrder = freeAt.top() * (laterWaits ? turns / (turns - 1) : 1);
-    // What comes later in the order gets its turns whatever waits before it.
-    const double byTurn = equalAhead * turns * m_meanService / m_slots;
-    return earlierWaits ? std::min(inOrder, byTurn) : inOrder;
+    const double interval = m_options.laterStartInterval;
+    const double waitInOrder = freeAt.top() * (laterWaits ? interval / (interval - 1) : 1);
+    // Every laterStartInterval-th start goes to a later request, even while earlier ones wait.
+    const double waitByInterval = equalPosition * interval * m_meanServiceTime / m_slots;
+    return earlierWaits ? std::min(waitInOrder, waitByInterval) : waitInOrder;
 }
 
-int slot_queue::slotsBefore(const slot_request &request) const
+int slot_queue::slotsNeededBefore(const slot_request &request) const
 {
     double offered = 0;
-    for (const auto &[kind, load] : m_loads) {
-        if (isBefore(load.example, request)) {
+    for (const auto &[route, load] : m_loads) {
+        if (isBefore(load.latestRequest, request)) {
             offered += load.offered;
         }
     }
-    // Less than a tenth of a slot is not worth keeping one free.
-    const double wanted = offered < 0.1 ? 0 : std::ceil(offered);
-    return static_cast<int>(std::min(wanted, std::floor(m_slots * m_options.maxReserved)));
+    // Less than a tenth of a slot does not justify a reserved slot.
+    const double needed = offered < 0.1 ? 0 : std::ceil(offered);
+    return static_cast<int>(std::min(needed, std::floor(m_slots * m_options.maxReservedShare)));
 }
 
-int slot_queue::reservedBefore(const slot_request &request) const
+int slot_queue::slotsReservedBefore(const slot_request &request) const
 {
     const auto inUse = std::count_if(m_running.begin(), m_running.end(), [&](const auto &entry) {
         return isBefore(entry.second.request, request);
     });
-    return std::max(0, slotsBefore(request) - static_cast<int>(inUse));
+    return std::max(0, slotsNeededBefore(request) - static_cast<int>(inUse));
 }
 
-void slot_queue::noteArrival(const slot_request &request, steady_time now)
+void slot_queue::recordArrival(const slot_request &request, steady_time now)
 {
-    const double kept = std::exp(-seconds(now - m_loadsAt) / seconds(m_options.loadMemory));
-    m_loadsAt = now;
-    for (auto &[kind, load] : m_loads) {
-        load.offered *= kept;
+    const double remainingWeight =
+        std::exp(-seconds(now - m_loadsUpdatedAt) / seconds(m_options.loadDecayTime));
+    m_loadsUpdatedAt = now;
+    for (auto &[route, load] : m_loads) {
+        load.offered *= remainingWeight;
     }
     std::erase_if(m_loads, [](const auto &entry) { return entry.second.offered < 1e-4; });
-    kind_load &load = m_loads[request.kind];
-    load.example = request;
-    load.offered += serviceOf(request.kind) / seconds(m_options.loadMemory);
+    route_load &load = m_loads[request.route];
+    load.latestRequest = request;
+    load.offered += serviceTimeOf(request.route) / seconds(m_options.loadDecayTime);
 }
 
 std::optional<uint64_t> slot_queue::submit(const slot_request &request, steady_time now,
-                                           refusal &refused)
+                                           rejection &rejected)
 {
-    noteArrival(request, now);
+    recordArrival(request, now);
     const double wait = expectedWait(request, now);
-    const double service = serviceOf(request.kind);
-    const double useful = std::min(seconds(request.objectiveEnd - now) * m_options.acceptedShare,
-                                   seconds(request.deadline - now));
-    if (wait > 0 && wait + service > useful) {
-        const auto excess = static_cast<int64_t>(std::ceil((wait + service - useful) * 1000));
-        refused.retryAfter = std::max(minRetryAfter, milliseconds(excess));
+    const double serviceTime = serviceTimeOf(request.route);
+    const double maxTime =
+        std::min(seconds(request.objectiveEnd - now) * m_options.maxObjectiveShare,
+                 seconds(request.deadline - now));
+    if (wait > 0 && wait + serviceTime > maxTime) {
+        const auto excess = static_cast<int64_t>(std::ceil((wait + serviceTime - maxTime) * 1000));
+        rejected.retryAfter = std::max(minRetryAfter, milliseconds(excess));
         return std::nullopt;
     }
     const auto position =
@@ -135,25 +139,25 @@
     return m_lastId;
 }
 
-std::list<slot_queue::waiting_request>::iterator slot_queue::next()
+std::list<slot_queue::waiting_request>::iterator slot_queue::chooseNext()
 {
     const auto first = m_waiting.begin();
     const auto other =
         std::find_if(first, m_waiting.end(), [first](const waiting_request &waiting) {
             return isBefore(first->request, waiting.request);
         });
-    if (other != m_waiting.end() && ++m_startsWhileOthersWait >= m_options.laterTurn) {
-        m_startsWhileOthersWait = 0;
+    if (other != m_waiting.end() && ++m_startsWhileLaterWait >= m_options.laterStartInterval) {
+        m_startsWhileLaterWait = 0;
         return other;
     }
-    return m_slots - running() > reservedBefore(first->request) ? first : m_waiting.end();
+    return m_slots - running() > slotsReservedBefore(first->request) ? first : m_waiting.end();
 }
 
-std::vector<uint64_t> slot_queue::start(steady_time now)
+std::vector<uint64_t> slot_queue::startRequests(steady_time now)
 {
     std::vector<uint64_t> started;
     while (running() < m_slots && !m_waiting.empty()) {
-        const auto chosen = next();
+        const auto chosen = chooseNext();
         if (chosen == m_waiting.end()) {
             break;
         }
@@ -169,25 +173,26 @@
     m_waiting.remove_if([id](const waiting_request &waiting) { return waiting.id == id; });
 }
 
-void slot_queue::finish(uint64_t id, bool isTypical, steady_time now)
+void slot_queue::finish(uint64_t id, bool isRepresentative, steady_time now)
 {
     const auto found = m_running.find(id);
     if (found == m_running.end()) {
         return;
     }
-    if (isTypical) {
+    if (isRepresentative) {
         const double took = seconds(now - found->second.startedAt);
-        const auto known = m_service.try_emplace(found->second.request.kind, took).first;
-        known->second += (took - known->second) * m_options.smoothing;
-        m_meanService =
-            m_meanService > 0 ? m_meanService + (took - m_meanService) * m_options.smoothing : took;
+        const auto entry = m_serviceTimes.try_emplace(found->second.request.route, took).first;
+        entry->second += (took - entry->second) * m_options.smoothingFactor;
+        m_meanServiceTime = m_meanServiceTime > 0
+            ? m_meanServiceTime + (took - m_meanServiceTime) * m_options.smoothingFactor
+            : took;
     }
     m_running.erase(found);
 }
 
-std::chrono::microseconds slot_queue::meanService() const
+std::chrono::microseconds slot_queue::meanServiceTime() const
 {
-    return std::chrono::microseconds(static_cast<int64_t>(m_meanService * 1e6));
+    return std::chrono::microseconds(static_cast<int64_t>(m_meanServiceTime * 1e6));
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/proxy/slot_queue.h
+++ b/src/persimmonrail/proxy/slot_queue.h
@@ -13,44 +13,49 @@
 
 struct slot_queue_options
 {
-    // Service time assumed for a kind of request of which none has ended yet.
-    milliseconds assumedService{50};
-    // Weight of one ended request in the mean service time of its kind.
-    double smoothing = 0.1;
-    // While requests later in the order wait, one of this many starts is theirs, so that none is
-    // starved.
-    int laterTurn = 10;
-    // A request is accepted if it is expected to end within this multiple of its time to target.
-    double acceptedShare = 0.9;
-    // Time over which the load that each kind offers is measured.
-    milliseconds loadMemory{1000};
-    // Largest part of the slots that is kept free for requests which come before others.
-    double maxReserved = 0.5;
+    // Service time assumed for a route until one of its requests has ended.
+    milliseconds initialServiceTime{50};
+    // Weight of one ended request in the moving average of the service time.
+    double smoothingFactor = 0.1;
+    // While requests later in the order wait, one of this many starts is given to them, so that
+    // they are not starved.
+    int laterStartInterval = 10;
+    // A request is accepted if it is expected to end within this share of the time left until its
+    // latency objective ends.
+    double maxObjectiveShare = 0.9;
+    // Time constant of the exponential decay of each route's offered load.
+    milliseconds loadDecayTime{1000};
+    // Largest share of the slots that is reserved for requests earlier in the order.
+    double maxReservedShare = 0.5;
 };
 
-// A request that asks for a slot.
+// A request for a slot.
 struct slot_request
 {
-    // Name of its route; requests of one kind take similar time.
-    std::string kind;
+    // Name of the route. Requests of one route have similar service times.
+    std::string route;
     // 0 is the most urgent.
     int rank = 0;
-    // Time from the arrival at the system within which an answer has its full worth.
+    // Latency objective, counted from the arrival of the request at the first daemon.
     milliseconds objective{0};
-    // That moment, and the one after which nobody waits.
+    // Time at which the latency objective ends, and the time until which the caller waits.
     steady_time objectiveEnd;
     steady_time deadline;
 };
 
-// Decides which requests use the slots of one upstream whose only sender is this daemon.
+// Decides which requests use the slots of one upstream. This daemon must be the only sender of
+// requests to the upstream.
 //
-// A free slot goes to the most urgent rank, and within a rank to the shortest objective, so that
-// the calls on which running requests wait come before new work; then in the order of arrival. A
-// request that is not expected to end within its objective is refused at once, so that the
-// upstream's time goes to answers that are worth it. Requests that come later in this order leave
-// as many slots free as those before them need on average; otherwise long work would hold all slots
-// when short urgent work arrives. The number of slots is known, so it is not adapted to what the
-// upstream does. No clock, no threads. Not thread safe.
+// A free slot goes to the most urgent rank, and within a rank to the shortest latency objective, so
+// that calls on which running requests wait start before new work. Requests with equal rank and
+// objective start in order of arrival. A request that is not expected to end within its objective
+// is rejected at once, so that the upstream spends its time on requests that can still meet their
+// objectives.
+//
+// For requests earlier in this order, as many slots are reserved as those requests need on average.
+// Otherwise long requests would hold all slots when short urgent requests arrive. The number of
+// slots is known, so it is not adapted to the behavior of the upstream. The object reads no clock
+// and starts no threads. Not thread safe.
 class slot_queue
 {
 public:
@@ -58,25 +63,29 @@
 
     void setSlots(int slots) { m_slots = slots; }
 
-    struct refusal
+    struct rejection
     {
-        // Time until a request of this kind can be expected to be accepted.
+        // Time after which a request of this route is expected to be accepted.
         milliseconds retryAfter{0};
     };
-    // Adds a request; nothing if it is refused.
-    std::optional<uint64_t> submit(const slot_request &request, steady_time now, refusal &refused);
-    // Returns the requests that start now. To be called after submit(), finish() and cancel().
-    std::vector<uint64_t> start(steady_time now);
-    // Removes a request that still waits.
+    // Adds a request and returns its ID. Returns nullopt and sets `rejected` if the request is not
+    // expected to end in time.
+    std::optional<uint64_t> submit(const slot_request &request, steady_time now,
+                                   rejection &rejected);
+    // Starts waiting requests on free slots and returns their IDs. Must be called after submit(),
+    // finish() and cancel().
+    std::vector<uint64_t> startRequests(steady_time now);
+    // Removes a request that has not started.
     void cancel(uint64_t id);
-    // A started request has ended. `isTypical`: its time says something about its kind.
-    void finish(uint64_t id, bool isTypical, steady_time now);
+    // Releases the slot of a started request. `isRepresentative` tells whether its time counts in
+    // the mean service time.
+    void finish(uint64_t id, bool isRepresentative, steady_time now);
 
     int running() const { return static_cast<int>(m_running.size()); }
     int waiting() const { return static_cast<int>(m_waiting.size()); }
     int slots() const { return m_slots; }
-    // Mean time of the requests that ended lately, of all kinds.
-    std::chrono::microseconds meanService() const;
+    // Returns the moving average of the service time over all routes.
+    std::chrono::microseconds meanServiceTime() const;
 
 private:
     struct waiting_request
@@ -89,39 +98,43 @@
         slot_request request;
         steady_time startedAt;
     };
-    struct kind_load
+    struct route_load
     {
-        // Its rank and objective decide its place in the order.
-        slot_request example;
-        // Mean number of slots that its requests would use if all were started.
+        // Its rank and objective determine the position of the route in the order.
+        slot_request latestRequest;
+        // Decayed mean number of slots that the route's requests would use if all of them were
+        // started.
         double offered = 0;
     };
 
+    // Returns whether `a` comes before `b` in the order.
     static bool isBefore(const slot_request &a, const slot_request &b);
-    double serviceOf(const std::string &kind) const;
-    // Seconds until the request would start.
+    // Returns the expected service time of the route in seconds.
+    double serviceTimeOf(const std::string &route) const;
+    // Returns the expected time in seconds until the request would start.
     double expectedWait(const slot_request &request, steady_time now) const;
-    // Slots that requests before this one in the order need on average, and those of them that they
-    // do not use now.
-    int slotsBefore(const slot_request &request) const;
-    int reservedBefore(const slot_request &request) const;
-    void noteArrival(const slot_request &request, steady_time now);
-    // The waiting request that may start now; the end of the list if none may.
-    std::list<waiting_request>::iterator next();
+    // Return the number of slots that requests earlier in the order need on average, and how many
+    // of these they do not use now.
+    int slotsNeededBefore(const slot_request &request) const;
+    int slotsReservedBefore(const slot_request &request) const;
+    // Adds the request to the offered load of its route.
+    void recordArrival(const slot_request &request, steady_time now);
+    // Returns the waiting request that may start now, or the end of the list if there is none.
+    std::list<waiting_request>::iterator chooseNext();
 
     const slot_queue_options m_options;
     int m_slots = 1;
     uint64_t m_lastId = 0;
-    // Seconds, by kind.
-    std::map<std::string, double> m_service;
-    double m_meanService = 0;
-    std::map<std::string, kind_load> m_loads;
-    steady_time m_loadsAt{};
-    // In the order in which they start.
+    // Moving average in seconds, by route.
+    std::map<std::string, double> m_serviceTimes;
+    double m_meanServiceTime = 0;
+    std::map<std::string, route_load> m_loads;
+    steady_time m_loadsUpdatedAt{};
+    // In the order in which the requests start.
     std::list<waiting_request> m_waiting;
     std::map<uint64_t, running_request> m_running;
-    // Starts of the first in the order while others waited.
-    int m_startsWhileOthersWait = 0;
+    // Times that the first request was due to start while a request later in the order waited.
+    int m_startsWhileLaterWait = 0;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/proxy/tests/large_response_queue_test.cpp
+++ b/src/persimmonrail/proxy/tests/large_response_queue_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-large_response_queue_options patient()
+large_response_queue_options longLimits()
 {
     large_response_queue_options options;
     options.maxWait = 20s;
@@ -21,53 +21,53 @@
 
 } // namespace
 
-// Load pattern: several archives of photographs leave a host whose link they fill.
-TEST_CASE("large answers leave one after the other", "[relay]")
+// Several archives of photographs leave a host and fill its link.
+TEST_CASE("large responses are sent one after the other", "[relay]")
 {
-    large_response_queue queue(patient());
-    std::atomic<int> inside{0};
-    std::atomic<int> most{0};
+    large_response_queue queue(longLimits());
+    std::atomic<int> concurrent{0};
+    std::atomic<int> maxConcurrent{0};
     std::atomic<int> served{0};
     constexpr int count = 12;
     std::vector<std::thread> transfers;
     transfers.reserve(count);
     for (int i = 0; i < count; ++i) {
         transfers.emplace_back([&] {
-            const auto permit = queue.enter();
+            const auto permit = queue.acquire();
             if (permit == nullptr) {
                 return;
             }
-            most = std::max(most.load(), ++inside);
+            maxConcurrent = std::max(maxConcurrent.load(), ++concurrent);
             std::this_thread::yield();
-            --inside;
+            --concurrent;
             ++served;
         });
     }
     for (std::thread &transfer : transfers) {
         transfer.join();
     }
-    CHECK(most == 1);
+    CHECK(maxConcurrent == 1);
     CHECK(served == count);
 }
 
-TEST_CASE("small answers take no turn", "[relay]")
+TEST_CASE("small responses need no permit", "[relay]")
 {
     const large_response_queue queue;
     CHECK_FALSE(queue.isLarge(1500));
     CHECK(queue.isLarge(90'000));
 }
 
-// Guards against answers that wait for one whose reader is gone.
-TEST_CASE("a transfer that is stuck holds up others for a bounded time", "[relay]")
+// Guards against responses that wait forever behind one whose reader has disconnected.
+TEST_CASE("a stuck transfer delays others for a bounded time", "[relay]")
 {
-    large_response_queue_options options = patient();
+    large_response_queue_options options = longLimits();
     options.maxWait = 10ms;
     options.maxPermitTime = 0ms;
     large_response_queue queue(options);
-    auto stuck = queue.enter();
+    auto stuck = queue.acquire();
     REQUIRE(stuck != nullptr);
-    CHECK(stuck->isOver(std::chrono::steady_clock::now()));
-    CHECK(queue.enter() == nullptr);
+    CHECK(stuck->hasExpired(std::chrono::steady_clock::now()));
+    CHECK(queue.acquire() == nullptr);
     stuck.reset();
-    CHECK(queue.enter() != nullptr);
+    CHECK(queue.acquire() != nullptr);
 }
--- a/src/persimmonrail/proxy/tests/releasing_sink_test.cpp
+++ b/src/persimmonrail/proxy/tests/releasing_sink_test.cpp
@@ -9,7 +9,7 @@
 
 const steady_time start = steady_time(1000s);
 
-slot_request wanted()
+slot_request anyRequest()
 {
     return {"photo", 1, 500ms, start + 500ms, start + 3s};
 }
@@ -35,41 +35,42 @@
 
 } // namespace
 
-// Load pattern: bodies that a slow link takes half a second to carry, more of them than slots.
-// Calls that running requests wait for need the same slots.
-TEST_CASE("answers on their way hold no slots", "[relay]")
+// Guards against response bodies that hold slots while a slow link takes half a second to send each
+// of them. There are more bodies than slots, and calls on which running requests wait need the same
+// slots.
+TEST_CASE("a response in transmission holds no slot", "[relay]")
 {
-    slot_gate gate;
-    gate.setSlots(2);
-    std::vector<std::unique_ptr<counting_sink>> requesters;
+    blocking_slot_queue slotQueue;
+    slotQueue.setSlots(2);
+    std::vector<std::unique_ptr<counting_sink>> receivers;
     std::vector<std::unique_ptr<releasing_sink>> sending;
     for (int i = 0; i < 6; ++i) {
-        slot_result entered = gate.enter(wanted(), start);
-        REQUIRE(std::holds_alternative<std::unique_ptr<slot_ticket>>(entered));
-        CHECK(gate.report().running == 1);
-        requesters.push_back(std::make_unique<counting_sink>());
+        slot_result acquired = slotQueue.acquire(anyRequest(), start);
+        REQUIRE(std::holds_alternative<std::unique_ptr<slot_permit>>(acquired));
+        CHECK(slotQueue.report().running == 1);
+        receivers.push_back(std::make_unique<counting_sink>());
         sending.push_back(std::make_unique<releasing_sink>(
-            std::move(std::get<std::unique_ptr<slot_ticket>>(entered)), *requesters.back()));
+            std::move(std::get<std::unique_ptr<slot_permit>>(acquired)), *receivers.back()));
         CHECK(sending.back()->begin({}, {body_framing::kind::Length, 90'000}, "first", false));
-        CHECK(gate.report().running == 0);
+        CHECK(slotQueue.report().running == 0);
     }
     CHECK(sending[0]->write("more"));
     CHECK(sending[0]->finish());
-    CHECK(requesters[0]->bytes == 9);
-    requesters[1]->isOpen = false;
+    CHECK(receivers[0]->bytes == 9);
+    receivers[1]->isOpen = false;
     CHECK_FALSE(sending[1]->write("more"));
 }
 
-TEST_CASE("a request without an answer keeps its slot until it ends", "[relay]")
+TEST_CASE("a request without a response holds its slot until it ends", "[relay]")
 {
-    slot_gate gate;
-    gate.setSlots(1);
-    counting_sink requester;
+    blocking_slot_queue slotQueue;
+    slotQueue.setSlots(1);
+    counting_sink receiver;
     {
-        slot_result entered = gate.enter(wanted(), start);
-        const releasing_sink sink(std::move(std::get<std::unique_ptr<slot_ticket>>(entered)),
-                                  requester);
-        CHECK(gate.report().running == 1);
+        slot_result acquired = slotQueue.acquire(anyRequest(), start);
+        const releasing_sink sink(std::move(std::get<std::unique_ptr<slot_permit>>(acquired)),
+                                  receiver);
+        CHECK(slotQueue.report().running == 1);
     }
-    CHECK(gate.report().running == 0);
+    CHECK(slotQueue.report().running == 0);
 }
--- a/src/persimmonrail/proxy/tests/request_proxy_test.cpp
+++ b/src/persimmonrail/proxy/tests/request_proxy_test.cpp
@@ -14,24 +14,24 @@
 
 namespace {
 
-// A daemon's path for requests, with members of a service behind a counting peer port.
-struct path_site
+// A request proxy and members of a service that share one peer port, which counts requests.
+struct proxy_site
 {
-    std::atomic<int> arrivals{0};
+    std::atomic<int> upstreamRequests{0};
     std::promise<void> served;
     decision_log log{{log_level::Off, "", 100, false}};
     metrics values;
     std::unique_ptr<http_server> peer;
     std::unique_ptr<http_server> callers;
     std::unique_ptr<upstream_dispatcher> dispatcher;
-    std::unique_ptr<request_proxy> path;
+    std::unique_ptr<request_proxy> proxy;
 
-    explicit path_site(int members = 1, bool refuses = false)
+    explicit proxy_site(int members = 1, bool isFull = false)
     {
-        peer = std::move(*http_server::listen({}, [this, refuses](server_exchange &exchange) {
-            ++arrivals;
-            if (refuses) {
-                respondToPeer(exchange, notRun(proxy_reason::Overload, 80ms));
+        peer = std::move(*http_server::listen({}, [this, isFull](server_exchange &exchange) {
+            ++upstreamRequests;
+            if (isFull) {
+                respondToPeer(exchange, notRunResult(proxy_reason::Overload, 80ms));
                 return;
             }
             Poco::Net::HTTPResponse head;
@@ -40,9 +40,9 @@
         }));
         exchange_codec codec;
         codec.readCall = [](const Poco::Net::HTTPRequest &) {
-            caller_fields call;
-            call.requestId = "r1";
-            return call;
+            caller_fields fields;
+            fields.requestId = "r1";
+            return fields;
         };
         upstream_dispatcher_hooks dispatcherHooks;
         dispatcherHooks.local = [] { return local_target(); };
@@ -65,24 +65,25 @@
         };
         hooks.isStopping = [] { return false; };
         hooks.makeRandom = [] { return [] { return uint64_t{1}; }; };
-        path = std::make_unique<request_proxy>(request_proxy_options(), hooks, codec, *dispatcher,
-                                               log, values);
+        proxy = std::make_unique<request_proxy>(request_proxy_options(), hooks, codec, *dispatcher,
+                                                log, values);
     }
-    ~path_site() { callers.reset(); }
+    ~proxy_site() { callers.reset(); }
 
-    // Serves one request, after its caller has closed the connection if `afterClose`.
-    void serve(const std::string &request, bool afterClose)
+    // Serves one request. With `isClosedFirst`, the caller closes its connection before the proxy
+    // serves the request.
+    void serve(const std::string &request, bool isClosedFirst)
     {
         callers = std::move(*http_server::listen({}, [&](server_exchange &exchange) {
-            if (afterClose) {
+            if (isClosedFirst) {
                 exchange.connection().waitClosed(std::chrono::steady_clock::now() + 20s);
             }
-            path->serveCaller(exchange);
+            proxy->serveCaller(exchange);
             served.set_value();
         }));
         Poco::Net::StreamSocket socket{Poco::Net::SocketAddress(callers->address())};
         socket.sendBytes(request.data(), static_cast<int>(request.size()));
-        if (afterClose) {
+        if (isClosedFirst) {
             socket.close();
         }
         REQUIRE(served.get_future().wait_for(20s) == std::future_status::ready);
@@ -91,24 +92,24 @@
 
 } // namespace
 
-// Load pattern: daemons that start again find requests whose callers have given up. Guards against
-// work for callers that are gone, also where their body is still unread.
-TEST_CASE("a request whose caller has left goes to no upstream", "[relay]")
+// After a restart, daemons receive requests whose callers have already disconnected. Guards against
+// running such requests, including those whose body is still unread.
+TEST_CASE("a request whose caller has disconnected is sent to no upstream", "[relay]")
 {
     const std::string request =
         GENERATE("GET / HTTP/1.1\r\nHost: h\r\n\r\n",
                  "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody");
-    const bool afterClose = GENERATE(false, true);
-    path_site site;
-    site.serve(request, afterClose);
-    CHECK(site.arrivals == (afterClose ? 0 : 1));
+    const bool isClosedFirst = GENERATE(false, true);
+    proxy_site site;
+    site.serve(request, isClosedFirst);
+    CHECK(site.upstreamRequests == (isClosedFirst ? 0 : 1));
 }
 
-// Load pattern: all 22 upstreams of a service are full, and their hosts spend their processors on
-// refusing each request 22 times.
-TEST_CASE("a request is offered to few upstreams that are full", "[relay]")
+// All 22 upstreams of a service are full. Guards against hosts that spend their CPU time on
+// rejecting each request 22 times.
+TEST_CASE("a request is sent to few overloaded upstreams", "[relay]")
 {
-    path_site site(22, true);
+    proxy_site site(22, true);
     site.serve("GET / HTTP/1.1\r\nHost: h\r\n\r\n", false);
-    CHECK(site.arrivals == request_proxy_options().maxOffers);
+    CHECK(site.upstreamRequests == request_proxy_options().maxOverloadRejections);
 }
--- a/src/persimmonrail/proxy/tests/slot_queue_test.cpp
+++ b/src/persimmonrail/proxy/tests/slot_queue_test.cpp
@@ -13,72 +13,73 @@
 
 const steady_time start = steady_time(1000s);
 
-slot_request request(const std::string &kind, int rank, milliseconds objective, steady_time now,
-                     milliseconds patience = 2000ms)
+slot_request makeRequest(const std::string &route, int rank, milliseconds objective,
+                         steady_time now, milliseconds timeout = 2000ms)
 {
-    return {kind, rank, objective, now + objective, now + patience};
+    return {route, rank, objective, now + objective, now + timeout};
 }
 
-uint64_t add(slot_queue &queue, const slot_request &wanted, steady_time now)
+uint64_t add(slot_queue &queue, const slot_request &request, steady_time now)
 {
-    slot_queue::refusal refused;
-    const auto id = queue.submit(wanted, now, refused);
+    slot_queue::rejection rejected;
+    const auto id = queue.submit(request, now, rejected);
     REQUIRE(id.has_value());
     return *id;
 }
 
-// One kind of request in a simulated load; times in virtual milliseconds.
-struct load
+// Requests of one route in a simulated load. Times are in simulated milliseconds.
+struct load_pattern
 {
-    std::string kind;
+    std::string route;
     int rank;
     milliseconds objective;
-    milliseconds service;
-    // Arrivals a second, and when they begin.
+    milliseconds serviceTime;
+    // Arrivals per second, and the time of the first arrivals.
     double rate;
     milliseconds from{0};
 };
 
-struct served
+struct route_result
 {
-    int asked = 0;
-    int refused = 0;
-    int inObjective = 0;
+    int arrived = 0;
+    int rejected = 0;
+    int inTime = 0;
 };
 
-// Plays loads on one upstream for `length` in steps of a millisecond.
-std::map<std::string, served> play(slot_queue &queue, const std::vector<load> &loads,
-                                   milliseconds length)
+// Simulates the load of one upstream for `length` in steps of one millisecond.
+std::map<std::string, route_result>
+simulate(slot_queue &queue, const std::vector<load_pattern> &patterns, milliseconds length)
 {
-    std::map<std::string, served> results;
-    std::map<uint64_t, std::pair<const load *, steady_time>> known;
+    std::map<std::string, route_result> results;
+    std::map<uint64_t, std::pair<const load_pattern *, steady_time>> accepted;
     std::multimap<steady_time, uint64_t> ends;
     std::map<std::string, double> due;
     for (milliseconds at{0}; at < length; ++at) {
         const steady_time now = start + at;
         while (!ends.empty() && ends.begin()->first <= now) {
-            const auto &[kind, target] = known.at(ends.begin()->second);
-            results[kind->kind].inObjective += now <= target ? 1 : 0;
+            const auto &[pattern, objectiveEnd] = accepted.at(ends.begin()->second);
+            results[pattern->route].inTime += now <= objectiveEnd ? 1 : 0;
             queue.finish(ends.begin()->second, true, now);
             ends.erase(ends.begin());
         }
-        for (const load &kind : loads) {
-            due[kind.kind] += at >= kind.from ? kind.rate / 1000 : 0;
-            while (due[kind.kind] >= 1) {
-                due[kind.kind] -= 1;
-                ++results[kind.kind].asked;
-                slot_queue::refusal refused;
-                const slot_request wanted = request(kind.kind, kind.rank, kind.objective, now);
-                const auto id = queue.submit(wanted, now, refused);
+        for (const load_pattern &pattern : patterns) {
+            due[pattern.route] += at >= pattern.from ? pattern.rate / 1000 : 0;
+            while (due[pattern.route] >= 1) {
+                due[pattern.route] -= 1;
+                ++results[pattern.route].arrived;
+                slot_queue::rejection rejected;
+                const slot_request request =
+                    makeRequest(pattern.route, pattern.rank, pattern.objective, now);
+                const auto id = queue.submit(request, now, rejected);
                 if (id) {
-                    known[*id] = {&kind, wanted.objectiveEnd};
+                    accepted[*id] = {&pattern, request.objectiveEnd};
                 } else {
-                    ++results[kind.kind].refused;
+                    ++results[pattern.route].rejected;
                 }
             }
         }
-        for (const uint64_t id : queue.start(now)) {
-            ends.emplace(now + known.at(id).first->service, id);
+        for (const uint64_t id : queue.startRequests(now)) {
+            ends.emplace(now + accepted.at(id).first->serviceTime, id);
         }
     }
     return results;
@@ -90,13 +91,13 @@
 {
     slot_queue queue;
     queue.setSlots(2);
-    const uint64_t first = add(queue, request("a", 0, 250ms, start), start);
-    add(queue, request("a", 0, 250ms, start), start);
-    const uint64_t third = add(queue, request("a", 0, 250ms, start), start);
-    CHECK(queue.start(start).size() == 2);
+    const uint64_t first = add(queue, makeRequest("a", 0, 250ms, start), start);
+    add(queue, makeRequest("a", 0, 250ms, start), start);
+    const uint64_t third = add(queue, makeRequest("a", 0, 250ms, start), start);
+    CHECK(queue.startRequests(start).size() == 2);
     CHECK(queue.waiting() == 1);
     queue.finish(first, true, start + 10ms);
-    CHECK(queue.start(start + 10ms) == std::vector<uint64_t>{third});
+    CHECK(queue.startRequests(start + 10ms) == std::vector<uint64_t>{third});
     queue.cancel(third);
     CHECK(queue.running() == 2);
 }
@@ -105,104 +106,107 @@
 {
     slot_queue queue;
     queue.setSlots(1);
-    const uint64_t busy = add(queue, request("a", 0, 2000ms, start), start);
-    queue.start(start);
-    const uint64_t tally = add(queue, request("tally", 2, 2000ms, start), start);
-    const uint64_t deposit = add(queue, request("deposit", 1, 1000ms, start), start);
-    const uint64_t lookup = add(queue, request("lookup", 1, 900ms, start), start);
-    const uint64_t second = add(queue, request("lookup", 1, 900ms, start), start);
+    const uint64_t busy = add(queue, makeRequest("a", 0, 2000ms, start), start);
+    queue.startRequests(start);
+    const uint64_t tally = add(queue, makeRequest("tally", 2, 2000ms, start), start);
+    const uint64_t deposit = add(queue, makeRequest("deposit", 1, 1000ms, start), start);
+    const uint64_t lookup = add(queue, makeRequest("lookup", 1, 900ms, start), start);
+    const uint64_t second = add(queue, makeRequest("lookup", 1, 900ms, start), start);
     std::vector<uint64_t> order;
     uint64_t last = busy;
     for (int i = 0; i < 4; ++i) {
         queue.finish(last, false, start);
-        order.push_back(queue.start(start).front());
+        order.push_back(queue.startRequests(start).front());
         last = order.back();
     }
     CHECK(order == std::vector<uint64_t>{lookup, second, deposit, tally});
 }
 
-// What can't be served in time is refused at once, and told when there is room again.
-TEST_CASE("a request that would end late is refused on arrival", "[relay]")
+// A request that can't be served in time is rejected at once, with the time after which there is
+// capacity again.
+TEST_CASE("a request that would end late is rejected on arrival", "[relay]")
 {
     slot_queue queue;
     queue.setSlots(1);
-    slot_queue::refusal refused;
+    slot_queue::rejection rejected;
     int accepted = 0;
-    while (queue.submit(request("a", 0, 250ms, start), start, refused)) {
-        queue.start(start);
+    while (queue.submit(makeRequest("a", 0, 250ms, start), start, rejected)) {
+        queue.startRequests(start);
         ++accepted;
     }
-    // 50 ms are assumed for each: four end within nine tenths of 250 ms, and a fifth 25 ms later.
+    // A service time of 50 ms is assumed: four requests end within nine tenths of 250 ms, and a
+    // fifth would end 25 ms late.
     CHECK(accepted == 4);
-    CHECK(refused.retryAfter == 25ms);
-    CHECK(queue.submit(request("a", 0, 400ms, start), start, refused).has_value());
+    CHECK(rejected.retryAfter == 25ms);
+    CHECK(queue.submit(makeRequest("a", 0, 400ms, start), start, rejected).has_value());
 }
 
-// Load pattern: one kind of request at twice the capacity of an upstream with 9 slots.
-TEST_CASE("an overload keeps all slots busy with answers in time", "[relay]")
+// The requests of one route arrive at twice the capacity of an upstream with 9 slots.
+TEST_CASE("all slots serve requests that end in time during an overload", "[relay]")
 {
     slot_queue queue;
     queue.setSlots(9);
-    const auto results = play(queue, {{"lookup", 0, 250ms, 90ms, 200}}, 10s);
-    const served &lookup = results.at("lookup");
-    CAPTURE(lookup.asked, lookup.refused, lookup.inObjective);
-    // Capacity: 9 slots / 90 ms = 100 a second.
-    CHECK(lookup.inObjective >= 950);
-    CHECK(lookup.refused <= 1050);
+    const auto results = simulate(queue, {{"lookup", 0, 250ms, 90ms, 200}}, 10s);
+    const route_result &lookup = results.at("lookup");
+    CAPTURE(lookup.arrived, lookup.rejected, lookup.inTime);
+    // The capacity is 9 slots / 90 ms = 100 requests a second.
+    CHECK(lookup.inTime >= 950);
+    CHECK(lookup.rejected <= 1050);
 }
 
-// Load pattern: the least urgent kind floods an upstream that also answers short calls on which
-// requests elsewhere wait.
-TEST_CASE("a flood of the least urgent work does not delay calls", "[relay]")
+// The least urgent route floods an upstream that also serves short calls on which requests
+// elsewhere wait.
+TEST_CASE("a flood of the least urgent requests does not delay calls", "[relay]")
 {
     slot_queue queue;
     queue.setSlots(9);
-    const auto results =
-        play(queue, {{"valuation", 1, 100ms, 22ms, 60}, {"tally", 2, 2000ms, 360ms, 80, 1s}}, 10s);
-    CHECK(results.at("valuation").refused <= 6);
-    CHECK(results.at("valuation").inObjective >= 570);
-    // 9 slots less 1.3 for the calls; a floor of 90% of that.
-    CHECK(results.at("tally").inObjective >= 170);
+    const auto results = simulate(
+        queue, {{"valuation", 1, 100ms, 22ms, 60}, {"tally", 2, 2000ms, 360ms, 80, 1s}}, 10s);
+    CHECK(results.at("valuation").rejected <= 6);
+    CHECK(results.at("valuation").inTime >= 570);
+    // The calls use 1.3 of the 9 slots; the bound is 90% of the rest.
+    CHECK(results.at("tally").inTime >= 170);
 }
 
-// Load pattern: a flood of the most urgent kind on a shared upstream.
-TEST_CASE("a flood of the most urgent work does not starve the others", "[relay]")
+// The most urgent route floods a shared upstream.
+TEST_CASE("a flood of the most urgent requests does not starve the others", "[relay]")
 {
     slot_queue queue;
     queue.setSlots(9);
     const auto results =
-        play(queue, {{"urgent", 0, 300ms, 60ms, 400}, {"tally", 2, 4000ms, 60ms, 15}}, 10s);
-    CAPTURE(results.at("urgent").asked, results.at("urgent").refused, results.at("tally").refused);
-    CHECK(results.at("tally").inObjective >= 80);
-    CHECK(results.at("urgent").inObjective >= 1200);
+        simulate(queue, {{"urgent", 0, 300ms, 60ms, 400}, {"tally", 2, 4000ms, 60ms, 15}}, 10s);
+    CAPTURE(results.at("urgent").arrived, results.at("urgent").rejected,
+            results.at("tally").rejected);
+    CHECK(results.at("tally").inTime >= 80);
+    CHECK(results.at("urgent").inTime >= 1200);
 }
 
-// Load pattern: sustained overload by one route, and a few requests on another one of the same rank
-// with a longer objective, such as a route that was just added.
-TEST_CASE("a longer objective of the same rank is not starved", "[relay]")
+// One route causes a sustained overload while another route of the same rank with a longer
+// objective, such as a newly added route, receives a few requests.
+TEST_CASE("requests of the same rank with a longer objective are not starved", "[relay]")
 {
     slot_queue queue;
     queue.setSlots(9);
     const auto results =
-        play(queue, {{"busy", 0, 500ms, 60ms, 400}, {"new", 0, 1000ms, 20ms, 3}}, 10s);
-    CAPTURE(results.at("new").refused);
-    CHECK(results.at("new").inObjective >= 25);
-    CHECK(results.at("busy").inObjective >= 1200);
+        simulate(queue, {{"busy", 0, 500ms, 60ms, 400}, {"new", 0, 1000ms, 20ms, 3}}, 10s);
+    CAPTURE(results.at("new").rejected);
+    CHECK(results.at("new").inTime >= 25);
+    CHECK(results.at("busy").inTime >= 1200);
 }
 
-TEST_CASE("the time of a kind follows what its requests take", "[relay]")
+TEST_CASE("the mean service time of a route follows its requests", "[relay]")
 {
     slot_queue queue;
     queue.setSlots(1);
     for (int i = 0; i < 60; ++i) {
         const steady_time now = start + i * 1s;
-        const uint64_t id = add(queue, request("slow", 0, 2000ms, now), now);
-        queue.start(now);
+        const uint64_t id = add(queue, makeRequest("slow", 0, 2000ms, now), now);
+        queue.startRequests(now);
         queue.finish(id, true, now + 400ms);
     }
-    CHECK(queue.meanService() > 380ms);
-    add(queue, request("slow", 0, 500ms, start), start);
-    queue.start(start);
-    slot_queue::refusal refused;
-    CHECK_FALSE(queue.submit(request("slow", 0, 500ms, start), start, refused).has_value());
+    CHECK(queue.meanServiceTime() > 380ms);
+    add(queue, makeRequest("slow", 0, 500ms, start), start);
+    queue.startRequests(start);
+    slot_queue::rejection rejected;
+    CHECK_FALSE(queue.submit(makeRequest("slow", 0, 500ms, start), start, rejected).has_value());
 }
--- a/src/persimmonrail/proxy/tests/upstream_picker_test.cpp
+++ b/src/persimmonrail/proxy/tests/upstream_picker_test.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("queue reports are read as written", "[relay]")
+TEST_CASE("an encoded queue report is parsed unchanged", "[relay]")
 {
     const auto parsed = parseQueueReport(encodeQueueReport({3, 4, 9, 120ms}));
     REQUIRE(parsed.has_value());
@@ -39,7 +39,7 @@
     }
 }
 
-// Load pattern: upstreams of one service differ in speed, and work goes where it ends first.
+// The upstreams of one service differ in speed, and requests should go where they end first.
 TEST_CASE("the faster and the less crowded upstream get more requests", "[relay]")
 {
     const upstream_member slow = member("slow");
@@ -59,8 +59,8 @@
     CHECK(chosen["slow"] > chosen["crowded"]);
 }
 
-// Guards against requests that wait again and again for a daemon that is lost.
-TEST_CASE("a failed upstream is left out for a time that grows", "[relay]")
+// Guards against repeated waits for a lost daemon.
+TEST_CASE("a failed upstream is avoided for a growing time", "[relay]")
 {
     const upstream_member lost = member("lost");
     const upstream_member sound = member("sound");
@@ -74,7 +74,7 @@
         CHECK(picked->id == sound.id);
         picker.finish(picked->id, result::Reached, std::nullopt, start);
     }
-    // It is better than none.
+    // A penalized upstream is chosen if no other is left.
     CHECK(picker.pick({&lost, &sound}, {sound.id}, start + 100ms)->id == lost.id);
     CHECK(picker.pick({&lost, &sound}, {sound.id, lost.id}, start) == nullptr);
     picker.finish(lost.id, result::Failed, std::nullopt, start + 1s);
@@ -85,7 +85,7 @@
 }
 
 // Guards against many requests that all wait for a lost daemon once its penalty has ended.
-TEST_CASE("one request finds out whether a failed upstream is back", "[relay]")
+TEST_CASE("one request tests whether a failed upstream has recovered", "[relay]")
 {
     const upstream_member lost = member("lost");
     const upstream_member sound = member("sound");
@@ -99,8 +99,8 @@
     CHECK(tried == 1);
 }
 
-// The statuses 429 and 503 promise that a request has not run and never will.
-TEST_CASE("only requests that did not run are told so", "[relay]")
+// The statuses 429 and 503 state that a request has not run and will not run.
+TEST_CASE("the status 503 is used only for requests that did not run", "[relay]")
 {
     const auto [reason, outcome, status] = GENERATE(table<proxy_reason, request_outcome, int>({
         {proxy_reason::NoRoute, request_outcome::NotRun, 404},
--- a/src/persimmonrail/proxy/upstream_dispatcher.cpp
+++ b/src/persimmonrail/proxy/upstream_dispatcher.cpp
@@ -7,10 +7,14 @@
 namespace persimmonrail {
 namespace {
 
-// Upstreams close connections that are idle for some seconds, and a crowded one earlier.
-constexpr milliseconds upstreamIdleTime{4000};
+// Upstreams close connections that are idle for some seconds, and crowded upstreams close them
+// earlier.
+constexpr milliseconds upstreamIdleTimeout{4000};
+// A request that may not be repeated reuses a connection only if it has been idle for less than
+// this.
 constexpr milliseconds upstreamFreshTime{400};
-// The upstream is on the same host; a connection is made at once or not at all.
+// Requests with less time left are not sent. The upstream is on the same host, so a connection is
+// made at once or not at all.
 constexpr milliseconds minTimeLeft{2};
 
 milliseconds timeLeft(const proxied_request &request, steady_time now)
@@ -18,7 +22,7 @@
     return std::chrono::duration_cast<milliseconds>(request.deadline - now);
 }
 
-proxy_reason reasonOf(exchange_state state)
+proxy_reason reasonFor(exchange_state state)
 {
     switch (state) {
     case exchange_state::TimedOut:
@@ -41,12 +45,12 @@
     : m_codec(std::move(codec))
     , m_hooks(std::move(hooks))
     , m_pool(std::make_shared<connection_pool>(
-          connection_pool_options{64, 128, upstreamIdleTime, upstreamFreshTime}))
+          connection_pool_options{64, 128, upstreamIdleTimeout, upstreamFreshTime}))
     , m_client(m_pool)
 { }
 
-proxy_reason upstream_dispatcher::refusal(const proxied_request &request,
-                                          const local_target &target) const
+proxy_reason upstream_dispatcher::rejectionReason(const proxied_request &request,
+                                                  const local_target &target) const
 {
     if (target.id != request.upstream || target.service != request.service) {
         return proxy_reason::OtherUpstream;
@@ -64,47 +68,48 @@
 proxy_result upstream_dispatcher::dispatch(const proxied_request &request,
                                            server_exchange &exchange, response_sink &sink)
 {
-    if (const proxy_reason reason = refusal(request, m_hooks.local());
+    if (const proxy_reason reason = rejectionReason(request, m_hooks.local());
         reason != proxy_reason::None) {
-        return notRun(reason);
+        return notRunResult(reason);
     }
     if (request.key) {
         m_hooks.countKey(*request.key);
     }
     const steady_time arrived = std::chrono::steady_clock::now();
-    const steady_time done = arrived + m_gate.report().meanServiceTime
-        + request.responseLink.backlog + request.responseLink.own;
-    // While answers queue for the link, one that would come late only makes the others late too.
-    if (request.responseLink.backlog.count() > 0 && done > request.objectiveEnd) {
-        return notRun(proxy_reason::LinkBusy,
-                      std::chrono::ceil<milliseconds>(done - request.objectiveEnd));
+    const steady_time expectedEnd = arrived + m_slotQueue.report().meanServiceTime
+        + request.linkEstimate.queueDelay + request.linkEstimate.sendTime;
+    // While responses queue for the link, a response that would be late would only delay the others
+    // as well.
+    if (request.linkEstimate.queueDelay.count() > 0 && expectedEnd > request.objectiveEnd) {
+        return notRunResult(proxy_reason::LinkBusy,
+                            std::chrono::ceil<milliseconds>(expectedEnd - request.objectiveEnd));
     }
-    const slot_request wanted{request.route, request.rank, request.objective, request.objectiveEnd,
-                              request.deadline};
-    slot_result entered = m_gate.enter(wanted, arrived);
-    if (const auto *refused = std::get_if<slot_queue::refusal>(&entered)) {
-        return notRun(proxy_reason::Overload, refused->retryAfter);
+    const slot_request slotRequest{request.route, request.rank, request.objective,
+                                   request.objectiveEnd, request.deadline};
+    slot_result acquired = m_slotQueue.acquire(slotRequest, arrived);
+    if (const auto *rejected = std::get_if<slot_queue::rejection>(&acquired)) {
+        return notRunResult(proxy_reason::Overload, rejected->retryAfter);
     }
-    releasing_sink releasing(std::move(std::get<std::unique_ptr<slot_ticket>>(entered)), sink);
-    // Anything may have changed while the request waited.
+    releasing_sink releasing(std::move(std::get<std::unique_ptr<slot_permit>>(acquired)), sink);
+    // The state of the upstream or the owner of the key may have changed while the request waited.
     const local_target target = m_hooks.local();
-    const proxy_reason reason = refusal(request, target);
-    return reason == proxy_reason::None ? dispatchTo(request, target, exchange, releasing)
-                                        : notRun(reason);
+    const proxy_reason reason = rejectionReason(request, target);
+    return reason == proxy_reason::None ? sendToUpstream(request, target, exchange, releasing)
+                                        : notRunResult(reason);
 }
 
-proxy_result upstream_dispatcher::dispatchTo(const proxied_request &request,
-                                             const local_target &target, server_exchange &exchange,
-                                             response_sink &sink)
+proxy_result upstream_dispatcher::sendToUpstream(const proxied_request &request,
+                                                 const local_target &target,
+                                                 server_exchange &exchange, response_sink &sink)
 {
     if (exchange.connection().waitClosed(std::chrono::steady_clock::now())) {
-        proxy_result gone = notRun(proxy_reason::CallerDisconnected);
-        gone.callerDisconnected = true;
-        return gone;
+        proxy_result disconnected = notRunResult(proxy_reason::CallerDisconnected);
+        disconnected.callerDisconnected = true;
+        return disconnected;
     }
     const milliseconds left = timeLeft(request, std::chrono::steady_clock::now());
     if (left < minTimeLeft) {
-        return notRun(proxy_reason::DeadlineBeforeSend);
+        return notRunResult(proxy_reason::DeadlineBeforeSend);
     }
     client_request call;
     call.address = target.address;
@@ -125,7 +130,7 @@
     };
     const exchange_result exchanged = m_client.exchange(call, sink);
     proxy_result result;
-    result.hasArrived = exchanged.anySent;
+    result.hasReachedUpstream = exchanged.anySent;
     result.responseStarted = exchanged.responseStarted;
     result.callerDisconnected =
         exchanged.sinkGone || exchanged.state == exchange_state::CallerDisconnected;
@@ -154,7 +159,7 @@
         }
         break;
     default:
-        result.reason = reasonOf(exchanged.state);
+        result.reason = reasonFor(exchanged.state);
         break;
     }
     return result;
--- a/src/persimmonrail/proxy/upstream_dispatcher.h
+++ b/src/persimmonrail/proxy/upstream_dispatcher.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "persimmonrail/http/http_server.h"
+#include "persimmonrail/proxy/blocking_slot_queue.h"
 #include "persimmonrail/proxy/exchange_codec.h"
 #include "persimmonrail/proxy/proxy_types.h"
-#include "persimmonrail/proxy/slot_gate.h"
 
 #include <functional>
 #include <memory>
@@ -11,60 +11,66 @@
 
 namespace persimmonrail {
 
-// The upstream beside this daemon as a request sees it.
+// The state of the local upstream that decides whether it can take a request.
 struct local_target
 {
     upstream_id id;
     std::string service;
     // "ip:port".
     std::string address;
-    // Why it takes no work; None if it does.
+    // Reason for which the upstream takes no requests; None if it takes them.
     proxy_reason closed = proxy_reason::None;
-    // The same for keys that it still holds: they are served until they have moved, as long as the
-    // platform lets a leaving upstream work.
+    // The same for requests with a key that the upstream still owns. Such requests are served until
+    // the key has moved, as long as the platform lets a draining upstream work.
     proxy_reason closedForKeys = proxy_reason::None;
 };
 
-// Hooks into the state of the daemon; all are thread safe, none blocks.
+// Access to the state of the daemon. All functions must be thread safe and must not block.
 struct upstream_dispatcher_hooks
 {
+    // Returns the current state of the local upstream.
     std::function<local_target()> local;
-    // Whether the upstream holds the key at this moment.
+    // Returns whether the upstream owns the key now.
     std::function<bool(shard_key key)> mayServe;
-    // Counts a request for the key, for the balance of ranges.
+    // Counts a request for the key, for the balancing of key ranges.
     std::function<void(shard_key key)> countKey;
-    // A connection was refused: no process listens at the address.
+    // Called when a connection is refused, which means that no process listens at the address.
     std::function<void(const upstream_id &id)> onRefusedConnection;
+    // Called when the upstream has responded.
     std::function<void(const upstream_id &id)> onResponse;
 };
 
-// Hands requests to the upstream beside this daemon. Thread safe; each request runs on the thread
-// of its connection.
+// Dispatches requests to the local upstream. Thread safe; each request runs on the thread of its
+// connection.
 class upstream_dispatcher
 {
 public:
     upstream_dispatcher(exchange_codec codec, upstream_dispatcher_hooks hooks);
 
-    // `exchange` supplies the body and is watched for the requester's departure; the answer goes to
-    // `sink`.
+    // Waits for a slot, sends the request to the upstream and passes the response on to `sink`.
+    // `exchange` supplies the request body and is watched for the requester's disconnection.
+    // Rejects the request if it is for another upstream or the upstream can't take it.
     proxy_result dispatch(const proxied_request &request, server_exchange &exchange,
                           response_sink &sink);
-    queue_report queue() const { return m_gate.report(); }
-    void setSlots(int slots) { m_gate.setSlots(slots); }
-    // The upstream that takes requests now.
+    // Returns the state of the queue for the upstream.
+    queue_report queue() const { return m_slotQueue.report(); }
+    // Sets the number of requests that the upstream may run at the same time.
+    void setSlots(int slots) { m_slotQueue.setSlots(slots); }
+    // Returns the state of the upstream that takes requests now.
     local_target local() const { return m_hooks.local(); }
     // Closes idle connections to an address, since another process may listen there.
     void dropConnections(const std::string &address) { m_pool->closeIdle(address); }
 
 private:
-    // Why the request can't be handed over now; None if it can.
-    proxy_reason refusal(const proxied_request &request, const local_target &target) const;
-    proxy_result dispatchTo(const proxied_request &request, const local_target &target,
-                            server_exchange &exchange, response_sink &sink);
+    // Returns why the request can't be dispatched now; None if it can.
+    proxy_reason rejectionReason(const proxied_request &request, const local_target &target) const;
+    // Sends a request that has a slot.
+    proxy_result sendToUpstream(const proxied_request &request, const local_target &target,
+                                server_exchange &exchange, response_sink &sink);
 
     const exchange_codec m_codec;
     const upstream_dispatcher_hooks m_hooks;
-    slot_gate m_gate;
+    blocking_slot_queue m_slotQueue;
     std::shared_ptr<connection_pool> m_pool;
     http_client m_client;
 };
--- a/src/persimmonrail/proxy/upstream_picker.cpp
+++ b/src/persimmonrail/proxy/upstream_picker.cpp
@@ -11,9 +11,10 @@
 namespace persimmonrail {
 namespace {
 
-// Assumed until an upstream has been measured.
-constexpr double assumedServiceSeconds = 0.05;
-// Entries of upstreams that no directory names any more are dropped beyond this number.
+// Assumed service time of an upstream that has not reported one.
+constexpr double initialServiceSeconds = 0.05;
+// Entries without requests in flight are erased when there are more entries than this, since no
+// directory may name their upstreams any more.
 constexpr size_t maxEntries = 4096;
 
 } // namespace
@@ -28,14 +29,14 @@
 {
     const std::vector<std::string> fields = absl::StrSplit(toAbsl(text), ',');
     queue_report report;
-    int64_t service = 0;
+    int64_t serviceTime = 0;
     if (fields.size() != 4 || !absl::SimpleAtoi(fields[0], &report.running)
         || !absl::SimpleAtoi(fields[1], &report.waiting)
-        || !absl::SimpleAtoi(fields[2], &report.limit) || !absl::SimpleAtoi(fields[3], &service)
-        || report.running < 0 || report.waiting < 0 || report.limit < 1 || service < 0) {
+        || !absl::SimpleAtoi(fields[2], &report.limit) || !absl::SimpleAtoi(fields[3], &serviceTime)
+        || report.running < 0 || report.waiting < 0 || report.limit < 1 || serviceTime < 0) {
         return std::nullopt;
     }
-    report.meanServiceTime = std::chrono::microseconds(service);
+    report.meanServiceTime = std::chrono::microseconds(serviceTime);
     return report;
 }
 
@@ -49,44 +50,44 @@
 double upstream_picker::expectedTime(const upstream_member &member, steady_time now) const
 {
     const auto found = m_entries.find(member.id);
-    double service = assumedServiceSeconds;
+    double serviceTime = initialServiceSeconds;
     double outstanding = 1;
     double limit = std::max(member.slots, 1);
     if (found != m_entries.end()) {
-        const entry &known = found->second;
-        outstanding += known.inFlight;
-        if (known.report) {
-            const double age = std::chrono::duration<double>(now - known.reportedAt).count();
-            const double memory = std::chrono::duration<double>(m_options.reportMemory).count();
-            const double weight = std::max(0.0, 1 - age / memory);
-            outstanding += weight * (known.report->running + known.report->waiting);
-            limit = known.report->limit;
-            if (known.report->meanServiceTime.count() > 0) {
-                service = std::chrono::duration<double>(known.report->meanServiceTime).count();
+        const upstream_load &entry = found->second;
+        outstanding += entry.inFlight;
+        if (entry.report) {
+            const double age = std::chrono::duration<double>(now - entry.reportedAt).count();
+            const double lifetime = std::chrono::duration<double>(m_options.reportLifetime).count();
+            const double weight = std::max(0.0, 1 - age / lifetime);
+            outstanding += weight * (entry.report->running + entry.report->waiting);
+            limit = entry.report->limit;
+            if (entry.report->meanServiceTime.count() > 0) {
+                serviceTime = std::chrono::duration<double>(entry.report->meanServiceTime).count();
             }
         }
     }
     const double load = outstanding / limit;
     const double zone =
-        member.availabilityZone == m_availabilityZone ? 1 : m_options.otherZoneFactor;
-    return zone * service * (1 + load * load);
+        member.availabilityZone == m_availabilityZone ? 1 : m_options.crossZoneFactor;
+    return zone * serviceTime * (1 + load * load);
 }
 
 const upstream_member *upstream_picker::pick(const std::vector<const upstream_member *> &members,
                                              const std::vector<upstream_id> &tried, steady_time now)
 {
     const std::lock_guard lock(m_mutex);
-    std::vector<const upstream_member *> sound;
+    std::vector<const upstream_member *> healthy;
     std::vector<const upstream_member *> penalized;
     for (const upstream_member *member : members) {
         if (std::find(tried.begin(), tried.end(), member->id) != tried.end()) {
             continue;
         }
-        const auto known = m_entries.find(member->id);
-        const bool isSound = known == m_entries.end() || now >= known->second.penaltyEnd;
-        (isSound ? sound : penalized).push_back(member);
+        const auto entry = m_entries.find(member->id);
+        const bool isHealthy = entry == m_entries.end() || now >= entry->second.penaltyEnd;
+        (isHealthy ? healthy : penalized).push_back(member);
     }
-    std::vector<const upstream_member *> &candidates = sound.empty() ? penalized : sound;
+    std::vector<const upstream_member *> &candidates = healthy.empty() ? penalized : healthy;
     if (candidates.empty()) {
         return nullptr;
     }
@@ -98,11 +99,12 @@
             chosen = other;
         }
     }
-    entry &known = m_entries[chosen->id];
-    ++known.inFlight;
-    if (known.failures > 0) {
-        // One request at a time finds out whether it is back.
-        known.penaltyEnd = std::max(known.penaltyEnd, now + m_options.initialPenalty);
+    upstream_load &entry = m_entries[chosen->id];
+    ++entry.inFlight;
+    if (entry.failures > 0) {
+        // Renews the penalty, so that only one request at a time tests whether the upstream has
+        // recovered.
+        entry.penaltyEnd = std::max(entry.penaltyEnd, now + m_options.initialPenalty);
     }
     return chosen;
 }
@@ -113,22 +115,22 @@
     ++m_entries[id].inFlight;
 }
 
-void upstream_picker::finish(const upstream_id &id, result how,
+void upstream_picker::finish(const upstream_id &id, result outcome,
                              const std::optional<queue_report> &report, steady_time now)
 {
     const std::lock_guard lock(m_mutex);
-    entry &known = m_entries[id];
-    known.inFlight = std::max(0, known.inFlight - 1);
+    upstream_load &entry = m_entries[id];
+    entry.inFlight = std::max(0, entry.inFlight - 1);
     if (report) {
-        known.report = report;
-        known.reportedAt = now;
+        entry.report = report;
+        entry.reportedAt = now;
     }
-    if (how == result::Reached) {
-        known.failures = 0;
-        known.penaltyEnd = {};
-    } else if (how == result::Failed) {
-        const int doublings = std::min(known.failures++, 8);
-        known.penaltyEnd =
+    if (outcome == result::Reached) {
+        entry.failures = 0;
+        entry.penaltyEnd = {};
+    } else if (outcome == result::Failed) {
+        const int doublings = std::min(entry.failures++, 8);
+        entry.penaltyEnd =
             now + std::min(m_options.maxPenalty, m_options.initialPenalty * (1 << doublings));
     }
     if (m_entries.size() > maxEntries) {
@@ -139,8 +141,8 @@
 bool upstream_picker::isPenalized(const upstream_id &id, steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto known = m_entries.find(id);
-    return known != m_entries.end() && now < known->second.penaltyEnd;
+    const auto entry = m_entries.find(id);
+    return entry != m_entries.end() && now < entry->second.penaltyEnd;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/proxy/upstream_picker.h
+++ b/src/persimmonrail/proxy/upstream_picker.h
@@ -12,76 +12,84 @@
 
 namespace persimmonrail {
 
-// State of the queue in front of one upstream, as the daemon beside it reports it.
+// State of the queue for one upstream, as reported by the daemon beside the upstream.
 struct queue_report
 {
     int running = 0;
     int waiting = 0;
+    // Number of requests that may run at the same time.
     int limit = 0;
-    // Mean time that a request takes.
+    // Mean service time of a request.
     std::chrono::microseconds meanServiceTime{0};
 };
 
+// Encodes a report for the header field between daemons.
 std::string encodeQueueReport(const queue_report &report);
-// Nothing if the text is no report.
+// Returns nullopt if the text is not a valid report.
 std::optional<queue_report> parseQueueReport(std::string_view text);
 
 struct upstream_picker_options
 {
-    // Pause after a failed attempt; doubles with each further one.
+    // Penalty after the first failed attempt; it doubles with each further failure.
     milliseconds initialPenalty{250};
     milliseconds maxPenalty{4000};
-    // A report loses its weight over this time.
-    milliseconds reportMemory{500};
-    // Factor on the expected time at an upstream in another availability zone: two crossings cost
-    // a few percent of a request, and bytes between zones are paid for.
-    double otherZoneFactor = 1.15;
+    // Time over which the weight of a report falls linearly to 0.
+    milliseconds reportLifetime{500};
+    // Factor on the expected time at an upstream in another availability zone. Two crossings
+    // between zones add a few percent to a request, and traffic between zones costs money.
+    double crossZoneFactor = 1.15;
 };
 
-// Chooses among the upstreams of one service by the time that a request can be expected to take
-// there. Thread safe.
+// Chooses among the upstreams of one service by the expected time of a request there. Thread safe.
 class upstream_picker
 {
 public:
     upstream_picker(std::string availabilityZone, random_source random,
                     upstream_picker_options options = {});
 
-    // Chooses the better of two drawn at random among `members` that are not in `tried`, and counts
-    // a request on it until finish(). Members under a penalty are chosen only if no other is left.
-    // Null if none is left.
+    // Draws two random members that are not in `tried`, chooses the one with the shorter expected
+    // time (power of two choices), and counts a request on it until finish(). Members under a
+    // penalty are chosen only if no other is left. Returns null if no member is left.
     const upstream_member *pick(const std::vector<const upstream_member *> &members,
                                 const std::vector<upstream_id> &tried, steady_time now);
-    // Counts a request on a member that was chosen otherwise.
+    // Counts a request on a member that was not chosen by pick().
     void begin(const upstream_id &id);
 
     enum class result {
-        // It answered, or refused in order.
+        // The upstream responded, or its daemon rejected the request.
         Reached,
-        // It could not be reached or fell silent.
+        // The upstream could not be reached or was unresponsive.
         Failed,
-        // Nothing follows about it.
+        // The attempt says nothing about the upstream.
         Neutral,
     };
-    void finish(const upstream_id &id, result how, const std::optional<queue_report> &report,
+    // Ends a request counted by pick() or begin(). `report` is the latest report of the upstream's
+    // queue, if there is one. A failure puts the upstream under a penalty and a success ends its
+    // penalty.
+    void finish(const upstream_id &id, result outcome, const std::optional<queue_report> &report,
                 steady_time now);
+    // Returns whether the upstream is under a penalty.
     bool isPenalized(const upstream_id &id, steady_time now) const;
 
 private:
-    struct entry
+    struct upstream_load
     {
         int inFlight = 0;
         std::optional<queue_report> report;
         steady_time reportedAt{};
+        // Consecutive failed attempts.
         int failures = 0;
         steady_time penaltyEnd{};
     };
+    // Returns the expected time of a request, in seconds, weighted by the zone factor. Must be
+    // called with the mutex held.
     double expectedTime(const upstream_member &member, steady_time now) const;
 
     const std::string m_availabilityZone;
     const upstream_picker_options m_options;
     mutable std::mutex m_mutex;
     random_source m_random;
-    std::map<upstream_id, entry> m_entries;
+    std::map<upstream_id, upstream_load> m_entries;
 };
 
 } // namespace persimmonrail
