--- a/src/persimmonrail/ownership/engine_leases.cpp
+++ b/src/persimmonrail/ownership/engine_leases.cpp
@@ -8,12 +8,13 @@
 namespace persimmonrail {
 namespace {
 
-// Limits the delay between claims that fall short, so that a partition is claimed within the 2 s
-// target once its witnesses can be reached again.
-constexpr int maxBackoffSteps = 3;
-constexpr milliseconds claimBackoff{50};
+// The maximum delay between claims is doubled at most this many times, so that a partition is
+// claimed within the objective of 2 s once its witnesses can be reached again.
+constexpr int maxClaimBackoffSteps = 3;
+// Maximum delay after the first failed claim.
+constexpr milliseconds initialClaimBackoff{50};
 
-wire::Request claimRequest(const instance_id &witness, const wire::PartitionLease &lease)
+wire::Request makeClaimRequest(const instance_id &witness, const wire::PartitionLease &lease)
 {
     wire::Request request;
     request.mutable_claim()->set_witness_incarnation(witness.incarnation);
@@ -28,11 +29,11 @@
     for (auto &[partition, lease] : m_leases) {
         switch (lease.phase) {
         case lease_phase::Idle:
-            considerClaim(lease, now);
+            claimIfDue(lease, now);
             break;
         case lease_phase::Claiming:
             if (now >= lease.claimDeadline) {
-                giveUpClaim(lease, now);
+                abandonClaim(lease, now);
             }
             break;
         case lease_phase::Holding:
@@ -54,74 +55,77 @@
         lease.suspendedAt = now;
         log(lease, "suspend", "lease expired");
         if (m_hooks.leaseExpired) {
-            m_hooks.leaseExpired(lease.known.record.partition);
+            m_hooks.leaseExpired(lease.latest.record.partition);
         }
     }
-    // Without a majority, or after a pause, the silence says nothing about a single witness.
-    for (auto &[witness, since] : lease.silentSince) {
+    // If a majority is unreachable, or this process was paused, the missing acknowledgements do not
+    // show that any single witness is unresponsive.
+    for (auto &[witness, since] : lease.unresponsiveSince) {
         since = now;
     }
-    // Heartbeats that only a minority acknowledges would keep that minority from granting a claim,
-    // so they end when another witness has moved on or after one more lease.
-    if (!lease.superseded.empty()) {
+    // Heartbeats that only a minority acknowledges would keep that minority from granting the claim
+    // of another instance. Heartbeats therefore end as soon as a witness has granted a higher term,
+    // or after another lease duration.
+    if (!lease.higherTermWitnesses.empty()) {
         stepDown(lease, "expired, and a witness has granted a higher term", now);
-    } else if (now - *lease.suspendedAt > m_timing.lease) {
+    } else if (now - *lease.suspendedAt > m_timing.leaseDuration) {
         stepDown(lease, "expired, and no majority of the witnesses answers", now);
-        lease.awaitNotices = true;
+        lease.isAwaitingNotices = true;
     }
 }
 
-void ownership_engine::state::considerClaim(lease_state &lease, steady_time now)
+void ownership_engine::state::claimIfDue(lease_state &lease, steady_time now)
 {
-    if (!m_upstreamUp || m_shuttingDown) {
+    if (!m_isUpstreamUp || m_isShuttingDown) {
         return;
     }
-    const auto position = standbyPosition(lease.known.record);
-    const bool mayClaimUnasked = isOwner(lease) && !lease.awaitNotices;
+    const auto position = standbyPosition(lease.latest.record);
+    const bool canClaimWithoutNotices = isOwner(lease) && !lease.isAwaitingNotices;
     if (!isOwner(lease) && !position) {
         return;
     }
-    if (!mayClaimUnasked && !hasNoticeMajority(lease, now)) {
-        lease.claimAt.reset();
+    if (!canClaimWithoutNotices && !hasNoticeMajority(lease, now)) {
+        lease.nextClaimAt.reset();
         return;
     }
-    if (!lease.claimAt) {
-        lease.claimAt = now;
+    if (!lease.nextClaimAt) {
+        lease.nextClaimAt = now;
         if (!isOwner(lease)) {
-            lease.claimAt = now + m_timing.standbyDelay * static_cast<int>(*position);
-            if (lease.highestTerm < lease.known.record.term) {
-                *lease.claimAt += m_timing.recordedOwnerHeadStart;
+            lease.nextClaimAt = now + m_timing.standbyDelay * static_cast<int>(*position);
+            if (lease.highestTerm < lease.latest.record.term) {
+                *lease.nextClaimAt += m_timing.unclaimedTermDelay;
             }
         }
     }
-    if (now >= *lease.claimAt) {
+    if (now >= *lease.nextClaimAt) {
         startClaim(lease, now);
     }
 }
 
 void ownership_engine::state::startClaim(lease_state &lease, steady_time now)
 {
-    const auto &record = lease.known.record;
+    const auto &record = lease.latest.record;
     lease.term = isOwner(lease) ? std::max(record.term, lease.highestTerm + 1)
                                 : std::max(record.term, lease.highestTerm) + 1;
     lease.highestTerm = lease.term;
     lease.phase = lease_phase::Claiming;
-    lease.attempt = ++m_lastAttempt;
+    lease.generation = ++m_lastGeneration;
     lease.acks.clear();
-    lease.superseded.clear();
-    lease.replied.clear();
-    lease.heldByOther.clear();
+    lease.higherTermWitnesses.clear();
+    lease.repliedWitnesses.clear();
+    lease.otherHolderWitnesses.clear();
     lease.leaseEnd = steady_time::min();
     lease.granted = false;
-    lease.grantPending = false;
-    lease.draining = false;
+    lease.isGrantPending = false;
+    lease.isDraining = false;
     lease.suspendedAt.reset();
-    lease.claimAt.reset();
+    lease.nextClaimAt.reset();
     lease.claimDeadline = now + m_timing.claimTimeout;
     log(lease, "claim", isOwner(lease) ? "recorded owner" : "standby after expiry notices");
-    const sent_lease sent{record.partition, lease.attempt, lease.known.version};
+    const sent_lease sent{record.partition, lease.generation, lease.latest.version};
     for (const auto &witness : allWitnesses(record)) {
-        send(witness, claimRequest(witness, leaseMessage(lease, lease.term)), m_timing.claimTimeout,
+        send(witness, makeClaimRequest(witness, makeLeaseMessage(lease, lease.term)),
+             m_timing.claimTimeout,
              [this, sent, term = lease.term, witness, now](const absl::StatusOr<wire::Reply> &reply,
                                                            steady_time repliedAt) {
                  onClaimReply(sent, term, witness, now, reply, repliedAt);
@@ -138,68 +142,70 @@
     const bool granted = reply.ok() && reply->has_claim()
         && reply->claim().verdict().code() == wire::LeaseVerdict::GRANTED;
     if (lease == nullptr) {
-        // A grant that arrives after the claim was given up would block others until it expires.
-        auto *known = findLease(sent.partition);
-        if (granted && known != nullptr && known->term != term) {
-            sendRelease(*known, witness, term);
+        // The claim had ended when the reply arrived. A grant is released, because it would block
+        // other claimants until it expires.
+        auto *currentLease = findLease(sent.partition);
+        if (granted && currentLease != nullptr && currentLease->term != term) {
+            sendRelease(*currentLease, witness, term);
         }
         return;
     }
     if (granted) {
         onGranted(*lease, witness, {sentAt, sent.recordVersion}, now);
     } else if (reply.ok() && reply->has_claim()) {
-        onRefused(*lease, witness, reply->claim().verdict(), now);
+        onRejected(*lease, witness, reply->claim().verdict(), now);
     }
-    lease->replied.insert(witness);
+    lease->repliedWitnesses.insert(witness);
     if (lease->phase == lease_phase::Claiming
-        && lease->replied.size() >= allWitnesses(lease->known.record).size()) {
-        giveUpClaim(*lease, now);
+        && lease->repliedWitnesses.size() >= allWitnesses(lease->latest.record).size()) {
+        abandonClaim(*lease, now);
     }
 }
 
-void ownership_engine::state::giveUpClaim(lease_state &lease, steady_time now)
+void ownership_engine::state::abandonClaim(lease_state &lease, steady_time now)
 {
-    // Witnesses whose answer is lost may have granted the claim too.
-    for (const auto &witness : allWitnesses(lease.known.record)) {
-        if (lease.acks.contains(witness) || !lease.replied.contains(witness)) {
+    // A witness that has not replied may have granted the claim as well.
+    for (const auto &witness : allWitnesses(lease.latest.record)) {
+        if (lease.acks.contains(witness) || !lease.repliedWitnesses.contains(witness)) {
             sendRelease(lease, witness, lease.term);
         }
     }
     log(lease, "claim-failed",
         absl::StrFormat("%d granted, %d held by others, %d superseded, %d answered of %d",
-                        lease.acks.size(), lease.heldByOther.size(), lease.superseded.size(),
-                        lease.replied.size(), allWitnesses(lease.known.record).size()));
+                        lease.acks.size(), lease.otherHolderWitnesses.size(),
+                        lease.higherTermWitnesses.size(), lease.repliedWitnesses.size(),
+                        allWitnesses(lease.latest.record).size()));
     lease.phase = lease_phase::Idle;
-    lease.attempt = ++m_lastAttempt;
-    for (const auto &witness : lease.heldByOther) {
+    lease.generation = ++m_lastGeneration;
+    for (const auto &witness : lease.otherHolderWitnesses) {
         lease.notices.erase(witness);
     }
-    if (isMajorityLost(lease.known.record, lease.heldByOther)) {
-        lease.awaitNotices = true;
-        lease.claimAt.reset();
+    if (isMajorityLost(lease.latest.record, lease.otherHolderWitnesses)) {
+        lease.isAwaitingNotices = true;
+        lease.nextClaimAt.reset();
         return;
     }
-    const auto step = std::min(lease.failedClaims++, maxBackoffSteps);
-    const milliseconds longest = claimBackoff * (1 << step);
-    lease.claimAt = now + jitter(claimBackoff / 4, longest);
+    const auto step = std::min(lease.failedClaimCount++, maxClaimBackoffSteps);
+    const milliseconds maxDelay = initialClaimBackoff * (1 << step);
+    lease.nextClaimAt = now + randomDelay(initialClaimBackoff / 4, maxDelay);
 }
 
 void ownership_engine::state::sendHeartbeats(steady_time now)
 {
-    if (now < m_heartbeatAt) {
+    if (now < m_nextHeartbeatAt) {
         return;
     }
-    m_heartbeatAt = std::max(m_heartbeatAt + m_timing.heartbeatInterval, now);
+    m_nextHeartbeatAt = std::max(m_nextHeartbeatAt + m_timing.heartbeatInterval, now);
     std::map<instance_id, std::pair<wire::Request, std::vector<sent_lease>>> messages;
     for (const auto &[partition, lease] : m_leases) {
         if (lease.phase != lease_phase::Holding) {
             continue;
         }
-        for (const auto &witness : allWitnesses(lease.known.record)) {
+        for (const auto &witness : allWitnesses(lease.latest.record)) {
             auto &[request, leases] = messages[witness];
             request.mutable_heartbeat()->set_witness_incarnation(witness.incarnation);
-            *request.mutable_heartbeat()->add_leases() = leaseMessage(lease, lease.term);
-            leases.push_back({partition, lease.attempt, lease.known.version});
+            *request.mutable_heartbeat()->add_leases() = makeLeaseMessage(lease, lease.term);
+            leases.push_back({partition, lease.generation, lease.latest.version});
         }
     }
     for (auto &[witness, message] : messages) {
@@ -230,7 +236,7 @@
         if (verdict.code() == wire::LeaseVerdict::GRANTED) {
             onGranted(*lease, witness, {sentAt, sent[i].recordVersion}, now);
         } else {
-            onRefused(*lease, witness, verdict, now);
+            onRejected(*lease, witness, verdict, now);
         }
     }
 }
@@ -241,28 +247,28 @@
     auto &newest = lease.acks[witness];
     newest.sentAt = std::max(newest.sentAt, ack.sentAt);
     newest.recordVersion = std::max(newest.recordVersion, ack.recordVersion);
-    lease.silentSince[witness] = now;
-    lease.superseded.erase(witness);
-    // A lease end, once reached, stays valid when the record changes: until the new record is
-    // adopted by a majority of the established witnesses, nobody can win a claim without them.
-    const auto end = leaseEndFromAcks(lease.known.record, lease.acks, m_timing.lease);
+    lease.unresponsiveSince[witness] = now;
+    lease.higherTermWitnesses.erase(witness);
+    // A record change does not shorten the lease: until a majority of the established witnesses has
+    // adopted the new record, no instance can win a claim without a majority of them.
+    const auto end = leaseEndFromAcks(lease.latest.record, lease.acks, m_timing.leaseDuration);
     lease.leaseEnd = std::max(lease.leaseEnd, end);
     if (lease.phase == lease_phase::Claiming && end != steady_time::min()) {
         lease.phase = lease_phase::Holding;
-        lease.failedClaims = 0;
-        lease.awaitNotices = false;
+        lease.failedClaimCount = 0;
+        lease.isAwaitingNotices = false;
         lease.notices.clear();
-        lease.silentSince.clear();
-        for (const auto &id : allWitnesses(lease.known.record)) {
-            lease.silentSince[id] = now;
+        lease.unresponsiveSince.clear();
+        for (const auto &id : allWitnesses(lease.latest.record)) {
+            lease.unresponsiveSince[id] = now;
         }
         log(lease, "hold", "claim granted by a majority of the witnesses");
     }
     publish(lease, now);
 }
 
-void ownership_engine::state::onRefused(lease_state &lease, const instance_id &witness,
-                                        const wire::LeaseVerdict &verdict, steady_time now)
+void ownership_engine::state::onRejected(lease_state &lease, const instance_id &witness,
+                                         const wire::LeaseVerdict &verdict, steady_time now)
 {
     lease.highestTerm = std::max(lease.highestTerm, verdict.term());
     switch (verdict.code()) {
@@ -270,17 +276,17 @@
         lease.replacedWitnesses.insert(witness);
         break;
     case wire::LeaseVerdict::STALE_RECORD:
-        lease.readWanted = true;
+        lease.isReadRequired = true;
         break;
     case wire::LeaseVerdict::HELD:
-        lease.heldByOther.insert(witness);
+        lease.otherHolderWitnesses.insert(witness);
         break;
     case wire::LeaseVerdict::STALE_TERM:
-        lease.superseded.insert(witness);
+        lease.higherTermWitnesses.insert(witness);
         if (lease.phase == lease_phase::Holding
-            && isMajorityLost(lease.known.record, lease.superseded)) {
+            && isMajorityLost(lease.latest.record, lease.higherTermWitnesses)) {
             stepDown(lease, "superseded by a higher term", now);
-            lease.awaitNotices = true;
+            lease.isAwaitingNotices = true;
         }
         break;
     default:
@@ -291,37 +297,37 @@
 void ownership_engine::state::stepDown(lease_state &lease, std::string_view reason, steady_time now)
 {
     if (lease.phase == lease_phase::Claiming) {
-        giveUpClaim(lease, now);
-        lease.claimAt.reset();
+        abandonClaim(lease, now);
+        lease.nextClaimAt.reset();
         return;
     }
     if (lease.phase != lease_phase::Holding) {
         return;
     }
-    const auto &record = lease.known.record;
+    const auto &record = lease.latest.record;
     m_table.stop(record.partition);
-    lease.attempt = ++m_lastAttempt;
+    lease.generation = ++m_lastGeneration;
     lease.phase = lease_phase::Releasing;
-    lease.draining = false;
+    lease.isDraining = false;
     lease.suspendedAt.reset();
-    lease.claimAt.reset();
+    lease.nextClaimAt.reset();
     log(lease, "stop", reason);
     finishRelease(lease, now);
 }
 
 void ownership_engine::state::finishRelease(lease_state &lease, steady_time now)
 {
-    if (m_upstreamUp && now < lease.leaseEnd && inFlight(lease) > 0) {
+    if (m_isUpstreamUp && now < lease.leaseEnd && inFlight(lease) > 0) {
         return;
     }
-    const auto &record = lease.known.record;
-    if (lease.granted && m_upstreamUp) {
+    const auto &record = lease.latest.record;
+    if (lease.granted && m_isUpstreamUp) {
         applyGrants({{record.partition, record.range, lease.term, milliseconds(0)}}, {});
     }
     lease.granted = false;
     lease.phase = lease_phase::Idle;
     lease.leaseEnd = steady_time::min();
-    // The witnesses of the tenure may differ from those of the newest record.
+    // The witnesses that acknowledged the lease may differ from those of the newest record.
     std::set<instance_id> witnesses;
     for (const auto &[witness, ack] : lease.acks) {
         witnesses.insert(witness);
@@ -341,7 +347,7 @@
 {
     wire::Request request;
     request.mutable_release()->set_witness_incarnation(witness.incarnation);
-    *request.mutable_release()->mutable_lease() = leaseMessage(lease, term);
+    *request.mutable_release()->mutable_lease() = makeLeaseMessage(lease, term);
     send(witness, std::move(request), m_timing.messageTimeout, [](const auto &, steady_time) {});
 }
 
@@ -380,16 +386,17 @@
         return;
     }
     lease->highestTerm = std::max(lease->highestTerm, notice.term());
-    lease->readWanted |= notice.record_version() > lease->known.version;
+    lease->isReadRequired |= notice.record_version() > lease->latest.version;
     lease->notices[witness] = now;
 }
 
 bool ownership_engine::state::hasNoticeMajority(const lease_state &lease, steady_time now) const
 {
-    // One witness that lost contact with a live holder must not start a claim: its partial grant
-    // would make that witness refuse the holder from then on. Two repetitions may be lost.
+    // A single witness that has lost contact with a live holder must not cause a claim: the witness
+    // would grant the claim and reject the holder from then on. A notice counts for 3.25 intervals,
+    // so that two repetitions may be lost.
     const auto validity = m_timing.noticeInterval * 13 / 4;
-    const auto &witnesses = establishedWitnesses(lease.known.record);
+    const auto &witnesses = establishedWitnesses(lease.latest.record);
     const auto fresh =
         std::count_if(witnesses.begin(), witnesses.end(), [&](const instance_id &witness) {
             const auto it = lease.notices.find(witness);
@@ -403,10 +410,10 @@
     if (lease.phase != lease_phase::Holding || now >= lease.leaseEnd) {
         return;
     }
-    const auto &record = lease.known.record;
-    // Requests in flight run on under the renewed lease while the partition drains.
+    const auto &record = lease.latest.record;
+    // Requests in flight continue under the renewed lease while the partition drains.
     m_table.renew(record.partition, lease.term, lease.leaseEnd);
-    if (lease.draining) {
+    if (lease.isDraining) {
         return;
     }
     if (lease.granted) {
@@ -414,11 +421,11 @@
         if (std::exchange(lease.suspendedAt, std::nullopt)) {
             log(lease, "resume", "lease renewed");
         }
-    } else if (!lease.grantPending) {
-        lease.grantPending = true;
+    } else if (!lease.isGrantPending) {
+        lease.isGrantPending = true;
         const auto validity = std::chrono::floor<milliseconds>(lease.leaseEnd - now);
         applyGrants({{record.partition, record.range, lease.term, validity}},
-                    {{record.partition, lease.attempt, lease.known.version}});
+                    {{record.partition, lease.generation, lease.latest.version}});
     }
 }
 
@@ -432,8 +439,8 @@
         }
         const auto validity = std::chrono::floor<milliseconds>(lease.leaseEnd - now);
         if (validity > milliseconds(0)) {
-            grants.push_back({partition, lease.known.record.range, lease.term, validity});
-            leases.push_back({partition, lease.attempt, lease.known.version});
+            grants.push_back({partition, lease.latest.record.range, lease.term, validity});
+            leases.push_back({partition, lease.generation, lease.latest.version});
         }
     }
     if (!grants.empty()) {
@@ -445,14 +452,14 @@
                                           std::vector<sent_lease> leases)
 {
     m_hooks.applyGrants(std::move(grants),
-                        [this, alive = std::weak_ptr<int>(m_alive),
+                        [this, lifetime = std::weak_ptr<int>(m_lifetimeToken),
                          leases = std::move(leases)](const absl::Status &status, steady_time now) {
-                            if (alive.expired()) {
+                            if (lifetime.expired()) {
                                 return;
                             }
                             for (const auto &sent : leases) {
                                 if (auto *lease = findCurrent(sent)) {
-                                    lease->grantPending = false;
+                                    lease->isGrantPending = false;
                                     lease->granted |= status.ok();
                                     if (status.ok()) {
                                         publish(*lease, now);
--- a/src/persimmonrail/ownership/engine_records.cpp
+++ b/src/persimmonrail/ownership/engine_records.cpp
@@ -9,10 +9,11 @@
 namespace persimmonrail {
 namespace {
 
-// A hand-over whose write is not answered by then is suspended, and the partition served again.
+// If the platform has not responded to the write of a planned move after this time, the drain is
+// cancelled and the partition is served again.
 constexpr milliseconds moveWriteTimeout{1000};
-// A record that witnesses report as outdated is read at most this often.
-constexpr milliseconds readInterval{1000};
+// Shortest interval between reads of one record that witnesses report as outdated.
+constexpr milliseconds minReadInterval{1000};
 
 bool haveSameWitnesses(const placement_record &a, const placement_record &b)
 {
@@ -24,22 +25,23 @@
 void ownership_engine::state::adoptRecord(lease_state &lease, versioned_record record,
                                           steady_time now)
 {
-    if (record.version <= lease.known.version) {
+    if (record.version <= lease.latest.version) {
         return;
     }
-    const auto old = std::exchange(lease.known, std::move(record));
-    const auto &current = lease.known.record;
+    const auto old = std::exchange(lease.latest, std::move(record));
+    const auto &current = lease.latest.record;
     lease.recoverableSince.reset();
     if (current.owner != old.record.owner) {
-        // The notices were about the lease of the earlier owner.
+        // The notices reported the expiry of the earlier owner's lease.
         lease.notices.clear();
     }
     if (lease.phase == lease_phase::Claiming) {
         stepDown(lease, "record changed", now);
     } else if (lease.phase == lease_phase::Holding) {
         const bool isConfirmed = isOwner(lease) && current.term <= lease.term;
-        // A standby that serves before its tenure is recorded keeps its authority as long as the
-        // record it claimed under differs only in the standbys or the target of a move.
+        // A standby may serve before its tenure is recorded. It keeps the lease as long as the new
+        // record differs from the one under which it claimed only in the standbys or in the target
+        // of a move.
         const bool isStillStandby = current.owner == old.record.owner
             && haveSameWitnesses(current, old.record) && current.term < lease.term
             && standbyPosition(current).has_value();
@@ -47,57 +49,60 @@
             stepDown(lease, "record changed", now);
         }
         for (const auto &witness : allWitnesses(current)) {
-            lease.silentSince.try_emplace(witness, now);
+            lease.unresponsiveSince.try_emplace(witness, now);
         }
     }
     if (lease.phase == lease_phase::Idle) {
-        lease.claimAt.reset();
-        lease.failedClaims = 0;
-        lease.awaitNotices = lease.awaitNotices && current.owner == old.record.owner;
+        lease.nextClaimAt.reset();
+        lease.failedClaimCount = 0;
+        lease.isAwaitingNotices = lease.isAwaitingNotices && current.owner == old.record.owner;
     }
 }
 
-void ownership_engine::state::dropRecord(lease_state &lease, steady_time now)
+void ownership_engine::state::applyRecordDeletion(lease_state &lease, steady_time now)
 {
     stepDown(lease, "record deleted", now);
-    lease.known.record.owner = {};
-    lease.known.record.standbys.clear();
+    lease.latest.record.owner = {};
+    lease.latest.record.standbys.clear();
 }
 
-void ownership_engine::state::changeRecords(steady_time now)
+void ownership_engine::state::updateRecords(steady_time now)
 {
     std::vector<std::pair<lease_state *, record_change>> changes;
     for (auto &[partition, lease] : m_leases) {
-        considerDrain(lease, now);
-        if (lease.writePending || lease.readWanted) {
+        updateDrain(lease, now);
+        if (lease.isWritePending || lease.isReadRequired) {
             continue;
         }
         if (auto change = proposeChange(lease, now)) {
             changes.emplace_back(&lease, *std::move(change));
         }
     }
-    // Tenures and moves affect serving, so they go first when tokens are short.
+    // Tenures and moves affect which partitions are served, so they are written first when the rate
+    // limiter has few tokens.
     std::stable_sort(changes.begin(), changes.end(),
                      [](const auto &a, const auto &b) { return a.second.kind < b.second.kind; });
     for (auto &[lease, change] : changes) {
-        // The token of a move was taken when the drain began.
+        // The token for a move was taken when the drain began.
         const bool isMove = change.kind == write_kind::Move;
         const bool isUrgent = change.kind == write_kind::Tenure;
         if (isMove         ? m_writeLimiter.isBackingOff(now)
-                : isUrgent ? !m_writeLimiter.isReady(now)
-                           : !m_writeLimiter.isReadyForDeferrable(now)) {
+                : isUrgent ? !m_writeLimiter.canCall(now)
+                           : !m_writeLimiter.canCallDeferrable(now)) {
             continue;
         }
         if (!isMove) {
-            m_writeLimiter.take(now);
+            m_writeLimiter.takeToken(now);
         }
         writeRecord(*lease, std::move(change), now);
     }
-    // After the writes: a drained partition that waits for a token is not served.
+    // Reads come after the writes because a drained partition is not served until its write has a
+    // token.
     for (auto &[partition, lease] : m_leases) {
-        const bool isDue = lease.lastRead == steady_time::min() || lease.writePending
-            || now - lease.lastRead >= readInterval;
-        if (lease.readWanted && !lease.readPending && isDue && m_writeLimiter.isReady(now)) {
+        const bool isReadDue = lease.lastReadAt == steady_time::min() || lease.isWritePending
+            || now - lease.lastReadAt >= minReadInterval;
+        if (lease.isReadRequired && !lease.isReadPending && isReadDue
+            && m_writeLimiter.canCall(now)) {
             readBack(lease, now);
         }
     }
@@ -109,9 +114,9 @@
     if (lease.phase != lease_phase::Holding || now >= lease.leaseEnd) {
         return std::nullopt;
     }
-    auto record = lease.known.record;
+    auto record = lease.latest.record;
     if (!isOwner(lease) || record.term != lease.term) {
-        if (m_shuttingDown) {
+        if (m_isShuttingDown) {
             return std::nullopt;
         }
         record.owner = m_self;
@@ -119,7 +124,7 @@
         if (record.nextOwner == m_self) {
             record.nextOwner = {};
         }
-        if (isLive(m_self)) {
+        if (isMember(m_self)) {
             record.standbys = chooseStandbys(*m_view, serviceOfPartition(record.partition), m_self,
                                              record.partition);
         } else {
@@ -127,14 +132,15 @@
         }
         return record_change{write_kind::Tenure, std::move(record), "tenure won"};
     }
-    if (lease.draining) {
+    if (lease.isDraining) {
         if (inFlight(lease) > 0 || lease.moveTarget.isNull()) {
             return std::nullopt;
         }
-        return record_change{write_kind::Move, moveRecord(lease, lease.moveTarget), "planned move"};
+        return record_change{write_kind::Move, recordAfterMove(lease, lease.moveTarget),
+                             "planned move"};
     }
     if (!record.nextOwner.isNull()) {
-        if (record.nextOwner != m_self && isLive(record.nextOwner)) {
+        if (record.nextOwner != m_self && isMember(record.nextOwner)) {
             return std::nullopt;
         }
         record.nextOwner = {};
@@ -149,9 +155,9 @@
 std::optional<ownership_engine::state::record_change>
 ownership_engine::state::proposeWitnessChange(const lease_state &lease, steady_time now) const
 {
-    auto record = lease.known.record;
+    auto record = lease.latest.record;
     if (!record.previousWitnesses.empty()) {
-        if (!isAdopted(record, lease.acks, lease.known.version)) {
+        if (!isAdopted(record, lease.acks, lease.latest.version)) {
             return std::nullopt;
         }
         record.previousWitnesses.clear();
@@ -162,103 +168,106 @@
         return std::nullopt;
     }
     std::vector<instance_id> kept;
-    std::vector<instance_id> bad;
-    bool isSilent = false;
+    std::vector<instance_id> replaced;
+    bool hasUnresponsive = false;
     for (const auto &id : record.witnesses) {
         const auto *member = m_view->findMember(id);
-        const auto silent = lease.silentSince.find(id);
-        const bool silentTooLong =
-            silent != lease.silentSince.end() && now - silent->second > m_timing.witnessSilence;
-        const bool isBad = member == nullptr || id == m_self || silentTooLong
+        const auto since = lease.unresponsiveSince.find(id);
+        const bool isUnresponsive = since != lease.unresponsiveSince.end()
+            && now - since->second > m_timing.unresponsiveWitnessTimeout;
+        const bool mustReplace = member == nullptr || id == m_self || isUnresponsive
             || lease.replacedWitnesses.contains(id);
-        // A witness on the owner's host may stay if the region has no better one.
-        const bool isPoor = !isBad && hostOf(*member) == hostOf(*self);
-        isSilent |= silentTooLong;
-        (isBad || isPoor ? bad : kept).push_back(id);
-    }
-    if (bad.empty() || kept.size() < witnessCount - 1) {
-        // Replacing two at a time is left to a second step; a lease needs two live witnesses.
-        if (kept.size() + 1 < witnessCount && !bad.empty()) {
+        // A witness on the owner's host stays if the region has no other candidate.
+        const bool sharesOwnerHost = !mustReplace && hostOf(*member) == hostOf(*self);
+        hasUnresponsive |= isUnresponsive;
+        (mustReplace || sharesOwnerHost ? replaced : kept).push_back(id);
+    }
+    if (replaced.empty() || kept.size() < witnessCount - 1) {
+        // If two or three witnesses must be replaced, only the first is replaced in this step,
+        // because the lease needs two live witnesses.
+        if (kept.size() + 1 < witnessCount && !replaced.empty()) {
             kept.assign(record.witnesses.begin(), record.witnesses.end());
-            std::erase(kept, bad.front());
-            bad.resize(1);
+            std::erase(kept, replaced.front());
+            replaced.resize(1);
         } else {
             return std::nullopt;
         }
     }
-    auto witnesses = completeWitnesses(*m_view, m_self, kept, bad);
+    auto witnesses = completeWitnesses(*m_view, m_self, kept, replaced);
     if (witnesses.size() != witnessCount) {
         return std::nullopt;
     }
     record.previousWitnesses = std::exchange(record.witnesses, std::move(witnesses));
     return record_change{write_kind::WitnessChange, std::move(record),
-                         isSilent ? "witness silent" : "witness replaced"};
+                         hasUnresponsive ? "witness silent" : "witness replaced"};
 }
 
 std::optional<ownership_engine::state::record_change>
 ownership_engine::state::proposeStandbys(const lease_state &lease) const
 {
-    auto record = lease.known.record;
+    auto record = lease.latest.record;
     auto chosen =
         chooseStandbys(*m_view, serviceOfPartition(record.partition), m_self, record.partition);
-    const bool complete = record.standbys.size() >= chosen.size()
+    const bool isComplete = record.standbys.size() >= chosen.size()
         && std::all_of(record.standbys.begin(), record.standbys.end(),
-                       [&](const instance_id &id) { return id != m_self && isLive(id); });
-    if (complete || chosen == record.standbys) {
+                       [&](const instance_id &id) { return id != m_self && isMember(id); });
+    if (isComplete || chosen == record.standbys) {
         return std::nullopt;
     }
     record.standbys = std::move(chosen);
     return record_change{write_kind::Standbys, std::move(record), "standbys changed"};
 }
 
-void ownership_engine::state::considerDrain(lease_state &lease, steady_time now)
+void ownership_engine::state::updateDrain(lease_state &lease, steady_time now)
 {
     if (lease.phase != lease_phase::Holding) {
         return;
     }
-    const auto &record = lease.known.record;
+    const auto &record = lease.latest.record;
     const bool isRecorded = isOwner(lease) && record.term == lease.term && now < lease.leaseEnd;
-    if (lease.draining) {
-        const bool isStuck = lease.writePending ? now - lease.writtenAt > moveWriteTimeout
-                                                : m_writeLimiter.isBackingOff(now);
-        if (!isRecorded || isStuck || !isLive(lease.moveTarget)) {
-            suspendDrain(lease, now);
+    if (lease.isDraining) {
+        const bool isWriteStalled = lease.isWritePending
+            ? now - lease.writeStartedAt > moveWriteTimeout
+            : m_writeLimiter.isBackingOff(now);
+        if (!isRecorded || isWriteStalled || !isMember(lease.moveTarget)) {
+            cancelDrain(lease, now);
         }
         return;
     }
     instance_id target = record.nextOwner;
-    if (m_shuttingDown) {
+    if (m_isShuttingDown) {
         const auto it = std::find_if(record.standbys.begin(), record.standbys.end(),
-                                     [&](const instance_id &id) { return isLive(id); });
-        if (!isRecorded || it == record.standbys.end() || !m_writeLimiter.isReady(now)) {
+                                     [&](const instance_id &id) { return isMember(id); });
+        if (!isRecorded || it == record.standbys.end() || !m_writeLimiter.canCall(now)) {
             drainForRelease(lease, "shutdown without a hand-over", now);
             return;
         }
         target = *it;
-    } else if (!m_writeLimiter.isReadyForDeferrable(now) || lease.writePending
-               || lease.readWanted) {
+    } else if (!m_writeLimiter.canCallDeferrable(now) || lease.isWritePending
+               || lease.isReadRequired) {
         return;
     }
-    if (isRecorded && !target.isNull() && target != m_self && isLive(target)) {
-        // A partition drained without a token would wait for its write unserved.
-        m_writeLimiter.take(now);
-        lease.draining = true;
+    if (isRecorded && !target.isNull() && target != m_self && isMember(target)) {
+        // The token is taken before the drain, because a drained partition is not served until its
+        // record is written.
+        m_writeLimiter.takeToken(now);
+        lease.isDraining = true;
         lease.moveTarget = target;
         m_table.stop(record.partition);
-        log(lease, "drain", m_shuttingDown ? "shutdown" : "planned move");
+        log(lease, "drain", m_isShuttingDown ? "shutdown" : "planned move");
     }
 }
 
-placement_record ownership_engine::state::moveRecord(const lease_state &lease,
-                                                     const instance_id &target) const
+placement_record ownership_engine::state::recordAfterMove(const lease_state &lease,
+                                                          const instance_id &target) const
 {
-    auto record = lease.known.record;
+    auto record = lease.latest.record;
     record.owner = target;
     record.term = lease.term + 1;
     record.nextOwner = {};
     record.standbys =
         chooseStandbys(*m_view, serviceOfPartition(record.partition), target, record.partition);
-    if (m_shuttingDown) {
+    if (m_isShuttingDown) {
         std::erase(record.standbys, m_self);
     }
     return record;
@@ -266,17 +275,17 @@
 
 void ownership_engine::state::writeRecord(lease_state &lease, record_change change, steady_time now)
 {
-    lease.writePending = true;
-    lease.writtenAt = now;
-    const auto partition = lease.known.record.partition;
+    lease.isWritePending = true;
+    lease.writeStartedAt = now;
+    const auto partition = lease.latest.record.partition;
     auto text = encodeRecord(change.record);
-    m_hooks.putRecord(placementKey(partition), lease.known.version, text,
-                      [this, alive = std::weak_ptr<int>(m_alive), partition,
+    m_hooks.putRecord(placementKey(partition), lease.latest.version, text,
+                      [this, lifetime = std::weak_ptr<int>(m_lifetimeToken), partition,
                        change = std::move(change)](const absl::StatusOr<uint64_t> &version,
                                                    steady_time respondedAt) {
-                          if (!alive.expired()) {
+                          if (!lifetime.expired()) {
                               onWritten(partition, change, version, respondedAt);
-                              deliverLocal(respondedAt);
+                              deliverLocalMessages(respondedAt);
                           }
                       });
 }
@@ -290,63 +299,64 @@
     }
     if (version.ok()) {
         m_writeLimiter.onResponse();
-        lease->writePending = false;
+        lease->isWritePending = false;
         log(*lease, "record", change.reason);
         adoptRecord(*lease, {change.record, *version}, now);
         return;
     }
     log(*lease, "record-failed", absl::StatusCodeToString(version.status().code()));
     if (absl::IsUnavailable(version.status()) || absl::IsResourceExhausted(version.status())) {
-        // The write had no effect.
-        m_writeLimiter.onRefused(now);
-        lease->writePending = false;
+        // The platform rejected the write, which therefore had no effect.
+        m_writeLimiter.onRejected(now);
+        lease->isWritePending = false;
     } else {
-        // Another writer was first, or the write may have taken effect although its answer is lost.
-        lease->readWanted = true;
+        // Another writer has changed the record, or the response to this write was lost and the
+        // write may have taken effect.
+        lease->isReadRequired = true;
     }
     if (change.kind == write_kind::Move && !absl::IsAborted(version.status())) {
-        suspendDrain(*lease, now);
+        cancelDrain(*lease, now);
     }
 }
 
-// Stops serving and releases the lease once the requests in flight have ended. The lease is renewed
-// until then: an upstream that does not check grants has its requests cancelled when the lease ends
-// (H4), which a graceful shutdown must not cause (P7).
+// Admits no more requests and releases the lease once the requests in flight have ended. The lease
+// is renewed until then: requests at an upstream that does not check grants are cancelled when the
+// lease ends (rule H4), which a graceful shutdown must not cause (requirement P7).
 void ownership_engine::state::drainForRelease(lease_state &lease, std::string_view reason,
                                               steady_time now)
 {
-    m_table.stop(lease.known.record.partition);
-    lease.draining = true;
+    m_table.stop(lease.latest.record.partition);
+    lease.isDraining = true;
     lease.moveTarget = {};
     if (inFlight(lease) == 0 || !isServing(lease, now)) {
         stepDown(lease, reason, now);
     }
 }
 
-void ownership_engine::state::suspendDrain(lease_state &lease, steady_time now)
+void ownership_engine::state::cancelDrain(lease_state &lease, steady_time now)
 {
-    if (m_shuttingDown) {
+    if (m_isShuttingDown) {
         drainForRelease(lease, "shutdown while the platform is unavailable", now);
         return;
     }
-    // The move is tried again when the platform answers; until then the partition is served. If the
-    // write takes effect late, the witnesses refuse this instance from then on.
-    lease.draining = false;
+    // The partition is served until the platform responds again and the move is retried. If the
+    // write takes effect late, the witnesses reject this instance from then on.
+    lease.isDraining = false;
     publish(lease, now);
 }
 
 void ownership_engine::state::readBack(lease_state &lease, steady_time now)
 {
-    m_writeLimiter.take(now);
-    lease.readPending = true;
-    lease.lastRead = now;
-    const auto partition = lease.known.record.partition;
+    m_writeLimiter.takeToken(now);
+    lease.isReadPending = true;
+    lease.lastReadAt = now;
+    const auto partition = lease.latest.record.partition;
     m_hooks.getRecord(placementKey(partition),
-                      [this, alive = std::weak_ptr<int>(m_alive),
+                      [this, lifetime = std::weak_ptr<int>(m_lifetimeToken),
                        partition](const absl::StatusOr<stored_object> &object, steady_time readAt) {
-                          if (!alive.expired()) {
+                          if (!lifetime.expired()) {
                               onRead(partition, object, readAt);
-                              deliverLocal(readAt);
+                              deliverLocalMessages(readAt);
                           }
                       });
 }
@@ -358,16 +368,16 @@
     if (lease == nullptr) {
         return;
     }
-    lease->readPending = false;
+    lease->isReadPending = false;
     if (!object.ok() && !absl::IsNotFound(object.status())) {
-        m_writeLimiter.onRefused(now);
+        m_writeLimiter.onRejected(now);
         return;
     }
     m_writeLimiter.onResponse();
-    lease->readWanted = false;
-    lease->writePending = false;
+    lease->isReadRequired = false;
+    lease->isWritePending = false;
     if (!object.ok() || object->deleted) {
-        dropRecord(*lease, now);
+        applyRecordDeletion(*lease, now);
         return;
     }
     auto record = decodeRecord(object->value);
@@ -378,31 +388,32 @@
     }
 }
 
-void ownership_engine::state::considerRecovery(steady_time now)
+void ownership_engine::state::recoverPartitions(steady_time now)
 {
     constexpr milliseconds recoveryInterval{1000};
-    if (now >= m_recoveryAt && m_upstreamUp && !m_shuttingDown) {
-        m_recoveryAt = now + recoveryInterval;
+    if (now >= m_nextRecoveryAt && m_isUpstreamUp && !m_isShuttingDown) {
+        m_nextRecoveryAt = now + recoveryInterval;
         findAbandonedPartitions();
         for (const auto &[partition, lease] : m_leases) {
-            if (!isServing(lease, now) && recoveryDelay(lease.known.record)) {
-                pingMissingWitnesses(lease.known.record, now);
+            if (!isServing(lease, now) && recoveryDelay(lease.latest.record)) {
+                pingMissingWitnesses(lease.latest.record, now);
             }
         }
     }
     for (auto &[partition, lease] : m_leases) {
-        const auto delay = recoveryDelay(lease.known.record);
-        if (!m_upstreamUp || m_shuttingDown || isServing(lease, now) || !delay || !isLive(m_self)) {
+        const auto delay = recoveryDelay(lease.latest.record);
+        if (!m_isUpstreamUp || m_isShuttingDown || isServing(lease, now) || !delay
+            || !isMember(m_self)) {
             lease.recoverableSince.reset();
             continue;
         }
         std::string_view reason = "majority of witnesses permanently dead";
-        auto record = recoverRecord(lease.known.record, m_evidence, *m_view, m_self, now);
-        if (!record && isAbandoned(lease.known.record)
-            && fallbackOwner(lease.known.record) == m_self) {
-            record = lease.known.record;
+        auto record = recoverRecord(lease.latest.record, m_evidence, *m_view, m_self, now);
+        if (!record && isAbandoned(lease.latest.record)
+            && fallbackOwner(lease.latest.record) == m_self) {
+            record = lease.latest.record;
             record->owner = m_self;
-            record->term = lease.known.record.term + 1;
+            record->term = lease.latest.record.term + 1;
             record->nextOwner = {};
             record->standbys =
                 chooseStandbys(*m_view, serviceOfPartition(partition), m_self, partition);
@@ -413,9 +424,9 @@
             continue;
         }
         lease.recoverableSince = lease.recoverableSince.value_or(now);
-        if (now - *lease.recoverableSince >= *delay && !lease.writePending && !lease.readWanted
-            && m_writeLimiter.isReady(now)) {
-            m_writeLimiter.take(now);
+        if (now - *lease.recoverableSince >= *delay && !lease.isWritePending
+            && !lease.isReadRequired && m_writeLimiter.canCall(now)) {
+            m_writeLimiter.takeToken(now);
             writeRecord(lease, {write_kind::Recovery, *std::move(record), reason}, now);
         }
     }
@@ -433,15 +444,17 @@
         const auto &record = it->second.record;
         if (!m_leases.contains(it->first) && isAbandoned(record)
             && fallbackOwner(record) == m_self) {
-            m_leases[it->first].known = it->second;
+            m_leases[it->first].latest = it->second;
         }
     }
 }
 
-// Instances write a recovery in a fixed order, so that they rarely compete for one record.
+// Instances attempt a recovery one after the other in a fixed order, so that they rarely compete
+// for one record.
 std::optional<milliseconds>
 ownership_engine::state::recoveryDelay(const placement_record &record) const
 {
+    // Delay of a newer incarnation of the owner, and of the fallback owner.
     constexpr milliseconds successorDelay{200};
     constexpr milliseconds initialStandbyDelay{400};
     if (record.owner == m_self) {
@@ -462,13 +475,14 @@
 void ownership_engine::state::pingMissingWitnesses(const placement_record &record, steady_time now)
 {
     for (const auto &witness : allWitnesses(record)) {
-        if (isLive(witness) || witness == m_self) {
+        if (isMember(witness) || witness == m_self) {
             continue;
         }
         if (witness.name == m_self.name) {
-            // An earlier run of this instance; it ended before this one started.
-            m_evidence.onPing(witness, m_self,
-                              std::chrono::floor<milliseconds>(now - *m_startedAt));
+            // The witness was an earlier incarnation of this instance, which ended before this one
+            // started.
+            m_evidence.onPingReply(witness, m_self,
+                                   std::chrono::floor<milliseconds>(now - *m_startedAt));
             continue;
         }
         wire::Request request;
@@ -476,7 +490,7 @@
         send(witness, std::move(request), m_timing.messageTimeout,
              [this, witness](const absl::StatusOr<wire::Reply> &reply, steady_time) {
                  if (reply.ok() && reply->has_ping()) {
-                     m_evidence.onPing(
+                     m_evidence.onPingReply(
                          witness, {reply->sender().name(), reply->sender().incarnation()},
                          milliseconds(static_cast<milliseconds::rep>(reply->ping().uptime_ms())));
                  }
@@ -484,20 +498,21 @@
     }
 }
 
-bool ownership_engine::state::isLive(const instance_id &id) const
+bool ownership_engine::state::isMember(const instance_id &id) const
 {
     return m_view->findMember(id) != nullptr;
 }
 
 bool ownership_engine::state::isAbandoned(const placement_record &record) const
 {
-    return !isLive(record.owner)
+    return !isMember(record.owner)
         && std::none_of(record.standbys.begin(), record.standbys.end(),
-                        [&](const instance_id &id) { return isLive(id); });
+                        [&](const instance_id &id) { return isMember(id); });
 }
 
-// The member that takes over a partition whose recorded owner and standbys are no members any
-// more. The record's witnesses stay, so a wrong belief about it can't give two owners.
+// Returns the member that becomes the owner of an abandoned partition: the member of the service
+// with the highest rendezvous weight, or a null id if the service has no members. An outdated view
+// cannot give the partition two owners, because the record keeps its witnesses.
 const instance_id &ownership_engine::state::fallbackOwner(const placement_record &record) const
 {
     static const instance_id none;
--- a/src/persimmonrail/ownership/lease_state.cpp
+++ b/src/persimmonrail/ownership/lease_state.cpp
@@ -16,7 +16,8 @@
     return static_cast<size_t>(std::count_if(set.begin(), set.end(), predicate));
 }
 
-// Newest time that a majority of the set has acknowledged, or the minimum.
+// Returns the newest send time such that a majority of the set has acknowledged a message sent then
+// or later, or steady_time::min() if there is none.
 steady_time majorityTime(const std::vector<instance_id> &set, const ack_map &acks)
 {
     std::vector<steady_time> times;
@@ -51,13 +52,13 @@
 }
 
 steady_time leaseEndFromAcks(const placement_record &record, const ack_map &acks,
-                             milliseconds lease)
+                             milliseconds leaseDuration)
 {
     auto sentAt = majorityTime(record.witnesses, acks);
     if (!record.previousWitnesses.empty()) {
         sentAt = std::min(sentAt, majorityTime(record.previousWitnesses, acks));
     }
-    return sentAt == steady_time::min() ? sentAt : sentAt + lease;
+    return sentAt == steady_time::min() ? sentAt : sentAt + leaseDuration;
 }
 
 bool isAdopted(const placement_record &record, const ack_map &acks, uint64_t recordVersion)
@@ -71,11 +72,11 @@
             || countWitnesses(record.previousWitnesses, hasAdopted) >= majority);
 }
 
-bool isMajorityLost(const placement_record &record, const std::set<instance_id> &refusing)
+bool isMajorityLost(const placement_record &record, const std::set<instance_id> &rejecting)
 {
-    const auto refuses = [&](const instance_id &id) { return refusing.contains(id); };
-    return countWitnesses(record.witnesses, refuses) >= majority
-        || countWitnesses(record.previousWitnesses, refuses) >= majority;
+    const auto isRejecting = [&](const instance_id &id) { return rejecting.contains(id); };
+    return countWitnesses(record.witnesses, isRejecting) >= majority
+        || countWitnesses(record.previousWitnesses, isRejecting) >= majority;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/ownership/lease_witness.cpp
+++ b/src/persimmonrail/ownership/lease_witness.cpp
@@ -15,7 +15,8 @@
 {
     wire::HeartbeatReply reply;
     for (const auto &lease : heartbeat.leases()) {
-        *reply.add_verdicts() = decide(holder, heartbeat.witness_incarnation(), lease, false, now);
+        *reply.add_verdicts() =
+            processLease(holder, heartbeat.witness_incarnation(), lease, false, now);
     }
     return reply;
 }
@@ -25,7 +26,7 @@
 {
     wire::ClaimReply reply;
     *reply.mutable_verdict() =
-        decide(claimant, claim.witness_incarnation(), claim.lease(), true, now);
+        processLease(claimant, claim.witness_incarnation(), claim.lease(), true, now);
     return reply;
 }
 
@@ -41,12 +42,12 @@
         return {};
     }
     entry.recordVersion = lease.record_version();
-    // Messages may be reordered: a release of an earlier term of the same holder must not end its
-    // current lease.
+    // Messages may arrive out of order: a release of an earlier term must not end the current lease
+    // of the same holder.
     if (entry.holder == holder && entry.term == lease.term() && !entry.released) {
         entry.released = true;
-        entry.noticesWanted = true;
-        entry.noticeAt = now;
+        entry.shouldSendNotices = true;
+        entry.nextNoticeAt = now;
     }
     return {};
 }
@@ -55,35 +56,36 @@
 {
     std::vector<expiry_notice> due;
     for (auto &[partition, entry] : m_entries) {
-        const bool open = entry.released || now >= entry.expiresAt;
-        if (!entry.noticesWanted || !open || now < entry.noticeAt) {
+        const bool hasEnded = entry.released || now >= entry.expiresAt;
+        if (!entry.shouldSendNotices || !hasEnded || now < entry.nextNoticeAt) {
             continue;
         }
-        entry.noticeAt = now + m_timing.noticeInterval;
+        entry.nextNoticeAt = now + m_timing.noticeInterval;
         due.push_back({partition, entry.recordVersion, entry.term});
     }
     return due;
 }
 
-void lease_witness::watch(const std::string &partition, steady_time now)
+void lease_witness::startNotices(const std::string &partition, steady_time now)
 {
     auto &entry = m_entries[partition];
-    if (!entry.noticesWanted) {
-        entry.noticesWanted = true;
-        entry.noticeAt = std::max(entry.expiresAt, now + m_timing.lease + m_timing.driftMargin);
+    if (!entry.shouldSendNotices) {
+        entry.shouldSendNotices = true;
+        entry.nextNoticeAt =
+            std::max(entry.expiresAt, now + m_timing.leaseDuration + m_timing.driftMargin);
     }
 }
 
 void lease_witness::stopNotices(const std::string &partition)
 {
     if (const auto it = m_entries.find(partition); it != m_entries.end()) {
-        it->second.noticesWanted = false;
+        it->second.shouldSendNotices = false;
     }
 }
 
-wire::LeaseVerdict lease_witness::decide(const instance_id &sender, uint64_t incarnation,
-                                         const wire::PartitionLease &lease, bool isClaim,
-                                         steady_time now)
+wire::LeaseVerdict lease_witness::processLease(const instance_id &sender, uint64_t incarnation,
+                                               const wire::PartitionLease &lease, bool isClaim,
+                                               steady_time now)
 {
     if (incarnation != m_self.incarnation) {
         wire::LeaseVerdict stale;
@@ -92,46 +94,49 @@
     }
     auto &entry = m_entries[lease.partition()];
     if (lease.record_version() < entry.recordVersion) {
-        return verdict(entry, wire::LeaseVerdict::STALE_RECORD, now);
+        return makeVerdict(entry, wire::LeaseVerdict::STALE_RECORD, now);
     }
-    // Adopted even if the request is refused below, so that no older record is ever accepted.
+    // The version is adopted even if the request is rejected below, so that messages with an older
+    // record are rejected from then on.
     entry.recordVersion = lease.record_version();
     if (isClaim || lease.term() > entry.term) {
-        return claim(entry, sender, lease.term(), now);
+        return applyClaim(entry, sender, lease.term(), now);
     }
     if (lease.term() < entry.term || entry.released || entry.holder != sender) {
-        return verdict(entry, wire::LeaseVerdict::STALE_TERM, now);
+        return makeVerdict(entry, wire::LeaseVerdict::STALE_TERM, now);
     }
-    return grant(entry, now);
+    return grantLease(entry, now);
 }
 
-wire::LeaseVerdict lease_witness::claim(entry &entry, const instance_id &claimant, uint64_t term,
-                                        steady_time now)
+wire::LeaseVerdict lease_witness::applyClaim(entry &entry, const instance_id &claimant,
+                                             uint64_t term, steady_time now)
 {
     if (term <= entry.term) {
-        return verdict(entry, wire::LeaseVerdict::STALE_TERM, now);
+        return makeVerdict(entry, wire::LeaseVerdict::STALE_TERM, now);
     }
-    // A claimant may supersede a lower term of its own, left behind by a claim without a majority.
-    const bool open = entry.released || now >= entry.expiresAt || entry.holder == claimant;
-    if (!open) {
-        return verdict(entry, wire::LeaseVerdict::HELD, now);
+    // A claimant may replace a lower term of its own, which an earlier claim without a majority may
+    // have left at this witness.
+    const bool isGrantable = entry.released || now >= entry.expiresAt || entry.holder == claimant;
+    if (!isGrantable) {
+        return makeVerdict(entry, wire::LeaseVerdict::HELD, now);
     }
     entry.term = term;
     entry.holder = claimant;
     entry.released = false;
-    return grant(entry, now);
+    return grantLease(entry, now);
 }
 
-wire::LeaseVerdict lease_witness::grant(entry &entry, steady_time now)
+wire::LeaseVerdict lease_witness::grantLease(entry &entry, steady_time now)
 {
-    entry.expiresAt = std::max(entry.expiresAt, now + m_timing.lease + m_timing.driftMargin);
-    entry.noticesWanted = true;
-    entry.noticeAt = entry.expiresAt;
-    return verdict(entry, wire::LeaseVerdict::GRANTED, now);
+    entry.expiresAt =
+        std::max(entry.expiresAt, now + m_timing.leaseDuration + m_timing.driftMargin);
+    entry.shouldSendNotices = true;
+    entry.nextNoticeAt = entry.expiresAt;
+    return makeVerdict(entry, wire::LeaseVerdict::GRANTED, now);
 }
 
-wire::LeaseVerdict lease_witness::verdict(const entry &entry, wire::LeaseVerdict::Code code,
-                                          steady_time now) const
+wire::LeaseVerdict lease_witness::makeVerdict(const entry &entry, wire::LeaseVerdict::Code code,
+                                              steady_time now) const
 {
     wire::LeaseVerdict verdict;
     verdict.set_code(code);
--- a/src/persimmonrail/ownership/lease_witness.h
+++ b/src/persimmonrail/ownership/lease_witness.h
@@ -14,8 +14,8 @@
 
 namespace persimmonrail {
 
-// A lease that expired or was released at this witness. The recipients are decided by the caller
-// from the newest record it knows.
+// Reports that a lease has expired or was released at this witness. The caller chooses the
+// recipients from the newest placement record that it knows.
 struct expiry_notice
 {
     std::string partition;
@@ -23,17 +23,19 @@
     uint64_t term = 0;
 };
 
-// The volatile lease table of one witness (rules W1 to W5 of docs/design.md).
+// The in-memory lease table of one witness (rules W1 to W5 of docs/design.md).
 //
-// Invariant: of two holders of one partition, the second is granted only after the lease of the
-// first has expired here or was released; terms and record versions never decrease.
+// Invariants: a witness grants a partition to a second holder only after the first holder's lease
+// has expired at this witness or was released. Terms and record versions never decrease.
 // Not thread safe; used on the control thread.
 class lease_witness
 {
 public:
     explicit lease_witness(instance_id self, lease_timing timing = {});
 
-    // Answers each lease of the message in order. `holder` is the sender of the message.
+    // Each handler returns the reply to a message that arrived at `now` from the instance in its
+    // first argument. The reply to a heartbeat has one verdict for each lease of the message, in
+    // the same order.
     wire::HeartbeatReply onHeartbeat(const instance_id &holder, const wire::Heartbeat &heartbeat,
                                      steady_time now);
     wire::ClaimReply onClaim(const instance_id &claimant, const wire::Claim &claim,
@@ -42,35 +44,39 @@
                                  steady_time now);
 
     // Returns the notices due at `now`. A notice is repeated every `noticeInterval` until the
-    // partition is granted again or `stopNotices` is called.
+    // partition is granted again or stopNotices() is called.
     std::vector<expiry_notice> takeDueNotices(steady_time now);
-    // Starts notices for a partition that this instance witnesses according to a record. If nobody
-    // ever claims it, a notice becomes due after lease + drift margin; without it no standby would
-    // learn that the recorded owner was lost before its first claim.
-    void watch(const std::string &partition, steady_time now);
-    // Ends the notices for a partition that this instance no longer witnesses. Its state is kept,
-    // as an adopted record version stays adopted.
+    // Starts notices for a partition whose record names this instance as a witness. If no instance
+    // claims the partition, the first notice becomes due after `leaseDuration` + `driftMargin`;
+    // otherwise no standby would learn that the recorded owner was lost before its first claim.
+    void startNotices(const std::string &partition, steady_time now);
+    // Stops the notices for a partition that this instance no longer witnesses. The partition's
+    // lease state is kept, because a record version, once adopted, must stay adopted.
     void stopNotices(const std::string &partition);
 
 private:
+    // Lease of one partition at this witness.
     struct entry
     {
+        // Highest record version adopted from a message (rule W2).
         uint64_t recordVersion = 0;
+        // Highest term granted.
         uint64_t term = 0;
         instance_id holder;
         bool released = false;
         steady_time expiresAt;
-        bool noticesWanted = false;
-        steady_time noticeAt;
+        bool shouldSendNotices = false;
+        steady_time nextNoticeAt;
     };
 
-    wire::LeaseVerdict decide(const instance_id &sender, uint64_t incarnation,
-                              const wire::PartitionLease &lease, bool isClaim, steady_time now);
-    wire::LeaseVerdict claim(entry &entry, const instance_id &claimant, uint64_t term,
-                             steady_time now);
-    wire::LeaseVerdict grant(entry &entry, steady_time now);
-    wire::LeaseVerdict verdict(const entry &entry, wire::LeaseVerdict::Code code,
-                               steady_time now) const;
+    wire::LeaseVerdict processLease(const instance_id &sender, uint64_t incarnation,
+                                    const wire::PartitionLease &lease, bool isClaim,
+                                    steady_time now);
+    wire::LeaseVerdict applyClaim(entry &entry, const instance_id &claimant, uint64_t term,
+                                  steady_time now);
+    wire::LeaseVerdict grantLease(entry &entry, steady_time now);
+    wire::LeaseVerdict makeVerdict(const entry &entry, wire::LeaseVerdict::Code code,
+                                   steady_time now) const;
 
     instance_id m_self;
     lease_timing m_timing;
--- a/src/persimmonrail/ownership/ownership_engine.cpp
+++ b/src/persimmonrail/ownership/ownership_engine.cpp
@@ -30,9 +30,9 @@
     updateLeases(now);
     sendHeartbeats(now);
     sendNotices(now);
-    changeRecords(now);
-    considerRecovery(now);
-    deliverLocal(now);
+    updateRecords(now);
+    recoverPartitions(now);
+    deliverLocalMessages(now);
 }
 
 void ownership_engine::state::onView(std::shared_ptr<const fleet_view> view, steady_time now)
@@ -42,19 +42,19 @@
     }
     const auto previous = std::exchange(m_view, std::move(view));
     for (const auto &[partition, record] : m_view->records) {
-        // The earlier view was complete up to its revision.
+        // The previous view contained every record up to its own revision.
         if (record.version <= previous->revision) {
             continue;
         }
         const auto &content = record.record;
         const auto witnesses = allWitnesses(content);
         if (std::find(witnesses.begin(), witnesses.end(), m_self) != witnesses.end()) {
-            m_witness.watch(partition, now);
+            m_witness.startNotices(partition, now);
         }
         if (content.owner.name == m_self.name || standbyPosition(content)) {
             const auto [it, isNew] = m_leases.try_emplace(partition);
             if (isNew) {
-                it->second.known = record;
+                it->second.latest = record;
             }
         }
     }
@@ -62,8 +62,8 @@
         const auto it = m_view->records.find(partition);
         if (it != m_view->records.end()) {
             adoptRecord(lease, it->second, now);
-        } else if (lease.known.version <= m_view->revision) {
-            dropRecord(lease, now);
+        } else if (lease.latest.version <= m_view->revision) {
+            applyRecordDeletion(lease, now);
         }
     }
     for (const auto &[service, document] : m_view->documents) {
@@ -71,16 +71,16 @@
     }
     for (auto it = m_leases.begin(); it != m_leases.end();) {
         const auto &lease = it->second;
-        const auto &record = lease.known.record;
-        const bool isConcerned =
+        const auto &record = lease.latest.record;
+        const bool isRelevant =
             record.owner.name == m_self.name || standbyPosition(record) || isAbandoned(record);
-        if (!isConcerned && lease.phase == lease_phase::Idle && !lease.writePending) {
+        if (!isRelevant && lease.phase == lease_phase::Idle && !lease.isWritePending) {
             it = m_leases.erase(it);
         } else {
             ++it;
         }
     }
-    deliverLocal(now);
+    deliverLocalMessages(now);
 }
 
 wire::Reply ownership_engine::state::onRequest(const wire::Request &request, steady_time now)
@@ -104,40 +104,40 @@
         reply.mutable_expiry_notice();
         break;
     default:
-        reply.mutable_error()->set_message("not an ownership message");
+        reply.mutable_error()->set_message("the request is not an ownership message");
         break;
     }
     return reply;
 }
 
-void ownership_engine::state::setUpstreamUp(bool up, steady_time now)
+void ownership_engine::state::setUpstreamUp(bool isUp, steady_time now)
 {
-    if (m_upstreamUp == up) {
+    if (m_isUpstreamUp == isUp) {
         return;
     }
-    m_upstreamUp = up;
+    m_isUpstreamUp = isUp;
     for (auto &[partition, lease] : m_leases) {
-        lease.claimAt.reset();
-        if (!up) {
+        lease.nextClaimAt.reset();
+        if (!isUp) {
             stepDown(lease, "upstream down", now);
             if (lease.phase == lease_phase::Releasing) {
                 finishRelease(lease, now);
             }
         }
     }
-    deliverLocal(now);
+    deliverLocalMessages(now);
 }
 
 void ownership_engine::state::drainAll(steady_time now)
 {
-    m_shuttingDown = true;
+    m_isShuttingDown = true;
     for (auto &[partition, lease] : m_leases) {
         if (lease.phase == lease_phase::Claiming) {
             stepDown(lease, "shutdown", now);
         }
     }
-    changeRecords(now);
-    deliverLocal(now);
+    updateRecords(now);
+    deliverLocalMessages(now);
 }
 
 bool ownership_engine::state::isDrained() const
@@ -152,23 +152,23 @@
     request.mutable_sender()->set_name(m_self.name);
     request.mutable_sender()->set_incarnation(m_self.incarnation);
     if (to == m_self) {
-        m_localDeliveries.push_back({std::move(request), std::move(done)});
+        m_localMessages.push_back({std::move(request), std::move(done)});
         return;
     }
     m_hooks.send(to, std::move(request), timeout,
-                 [this, alive = std::weak_ptr<int>(m_alive),
+                 [this, lifetime = std::weak_ptr<int>(m_lifetimeToken),
                   done = std::move(done)](absl::StatusOr<wire::Reply> reply, steady_time now) {
-                     if (!alive.expired()) {
+                     if (!lifetime.expired()) {
                          done(std::move(reply), now);
-                         deliverLocal(now);
+                         deliverLocalMessages(now);
                      }
                  });
 }
 
-void ownership_engine::state::deliverLocal(steady_time now)
+void ownership_engine::state::deliverLocalMessages(steady_time now)
 {
-    while (!m_localDeliveries.empty()) {
-        for (auto &delivery : std::exchange(m_localDeliveries, {})) {
+    while (!m_localMessages.empty()) {
+        for (auto &delivery : std::exchange(m_localMessages, {})) {
             delivery.done(onRequest(delivery.request, now), now);
         }
     }
@@ -178,17 +178,17 @@
                                   std::string_view reason) const
 {
     if (m_hooks.log) {
-        const auto &record = lease.known.record;
+        const auto &record = lease.latest.record;
         m_hooks.log(
             absl::StrFormat("placement %s partition=%s term=%d record=%d owner=%s reason=%s",
-                            std::string(action), record.partition, lease.term, lease.known.version,
+                            std::string(action), record.partition, lease.term, lease.latest.version,
                             toString(record.owner), std::string(reason)));
     }
 }
 
 bool ownership_engine::state::isOwner(const lease_state &lease) const
 {
-    return lease.known.record.owner == m_self;
+    return lease.latest.record.owner == m_self;
 }
 
 std::optional<size_t> ownership_engine::state::standbyPosition(const placement_record &record) const
@@ -207,7 +207,7 @@
 
 size_t ownership_engine::state::inFlight(const lease_state &lease) const
 {
-    const auto &partition = lease.known.record.partition;
+    const auto &partition = lease.latest.record.partition;
     return m_hooks.inFlight ? m_hooks.inFlight(partition) : m_table.inFlight(partition);
 }
 
@@ -220,21 +220,22 @@
 lease_state *ownership_engine::state::findCurrent(const sent_lease &sent)
 {
     auto *lease = findLease(sent.partition);
-    return lease != nullptr && lease->attempt == sent.attempt ? lease : nullptr;
+    return lease != nullptr && lease->generation == sent.generation ? lease : nullptr;
 }
 
-milliseconds ownership_engine::state::jitter(milliseconds low, milliseconds high)
+milliseconds ownership_engine::state::randomDelay(milliseconds minDelay, milliseconds maxDelay)
 {
-    std::uniform_int_distribution<milliseconds::rep> distribution(low.count(), high.count());
+    std::uniform_int_distribution<milliseconds::rep> distribution(minDelay.count(),
+                                                                  maxDelay.count());
     return milliseconds(distribution(m_random));
 }
 
-wire::PartitionLease ownership_engine::state::leaseMessage(const lease_state &lease,
-                                                           uint64_t term) const
+wire::PartitionLease ownership_engine::state::makeLeaseMessage(const lease_state &lease,
+                                                               uint64_t term) const
 {
     wire::PartitionLease message;
-    message.set_partition(lease.known.record.partition);
-    message.set_record_version(lease.known.version);
+    message.set_partition(lease.latest.record.partition);
+    message.set_record_version(lease.latest.version);
     message.set_term(term);
     return message;
 }
--- a/src/persimmonrail/ownership/ownership_engine.h
+++ b/src/persimmonrail/ownership/ownership_engine.h
@@ -20,7 +20,8 @@
 
 namespace persimmonrail {
 
-// A grant for the upstream. A validity of 0 revokes the grant.
+// A grant that allows the local upstream to serve a partition under a term. A validity of 0 revokes
+// the grant.
 struct lease_grant
 {
     std::string partition;
@@ -29,9 +30,10 @@
     milliseconds validity{0};
 };
 
-// Connections of an ownership_engine to the rest of the daemon. Hooks must not block and must not
-// call a completion before they return. Each completion is called on the control thread, at most
-// once, with the time at which it is called.
+// Callbacks through which an ownership_engine reaches the rest of the daemon. All hooks are
+// required unless marked optional. A hook must not block and must not call its completion before it
+// returns. A completion must be called on the control thread, at most once, with the time of that
+// call.
 struct ownership_hooks
 {
     using reply_completion =
@@ -41,33 +43,39 @@
         std::function<void(absl::StatusOr<stored_object> object, steady_time now)>;
     using grant_completion = std::function<void(absl::Status status, steady_time now)>;
 
-    // Sends to the control address of the instance named `to.name`, whatever incarnation answers
-    // there; the address of a deleted member is remembered. Never called with the engine's own id.
+    // Sends a request to the control address of the instance named `to.name`. The reply may come
+    // from any incarnation of that instance. The hook must keep the addresses of deleted members.
+    // Never called with the engine's own id.
     std::function<void(const instance_id &to, wire::Request request, milliseconds timeout,
                        reply_completion done)>
         send;
-    // Conditional update and read of a platform object, with the error codes of object_api. `key`
-    // is a full platform key, "placement/<partition>".
+    // Updates a platform object if its version is still `expectedVersion`, with the error codes of
+    // object_api. `key` is a full platform key, "placement/<partition>".
     std::function<void(const std::string &key, uint64_t expectedVersion, const std::string &text,
                        put_completion done)>
         putRecord;
+    // Reads a platform object, with the error codes of object_api. `key` is as for putRecord.
     std::function<void(const std::string &key, get_completion done)> getRecord;
-    // Passes grants to the upstream.
+    // Passes grants to the local upstream.
     std::function<void(std::vector<lease_grant> grants, grant_completion done)> applyGrants;
-    // Requests in flight at the upstream. Optional; defaults to the count of the serving table.
+    // Returns the number of the partition's requests in flight at the local upstream. Optional; the
+    // count of the serving table is used by default.
     std::function<size_t(const std::string &partition)> inFlight;
-    // Called when the lease of a partition has expired; requests in flight at an upstream that does
-    // not check grants must be cancelled (rule H4). Optional.
+    // Called when the lease of a partition has expired. The hook must cancel the partition's
+    // requests in flight if the local upstream does not check grants (rule H4 of docs/design.md).
+    // Optional.
     std::function<void(const std::string &partition)> leaseExpired;
-    // Takes one line for each placement decision. Optional.
+    // Receives one log line for each placement decision. Optional.
     std::function<void(const std::string &line)> log;
 };
 
-// Decides which partitions this instance holds, claims, moves and witnesses (rules H1 to H4, C1 to
-// C3 and R1 to R3 of docs/design.md; the witness rules are in lease_witness).
+// Claims, holds, moves and releases the partitions of this instance, and acts as a witness for
+// those of other instances. Implements the rules H1 to H4, C1 to C3 and R1 to R3 of docs/design.md;
+// lease_witness implements the witness rules W1 to W5.
 //
-// Deterministic: all time comes from the arguments and all randomness from the seed.
-// Not thread safe; used on the control thread. The serving table carries the result to others.
+// The engine is deterministic: it reads no clock and takes all randomness from the seed.
+// Not thread safe; used on the control thread. Other threads read the served partitions from the
+// serving table.
 class ownership_engine
 {
 public:
@@ -77,24 +85,28 @@
     ownership_engine &operator=(ownership_engine &&other) noexcept;
     ~ownership_engine();
 
-    // Does everything that is due. Call at least every 20 ms; with longer gaps leases expire early
-    // and failover is slower, but no rule is broken.
+    // Performs all actions that are due at `now`. Call tick() at least every 20 ms: with longer
+    // intervals leases may expire between renewals and failover is slower, but no rule is violated.
     void tick(steady_time now);
-    // Takes a newer view of the fleet. Records older than those already known are ignored.
+    // Applies a newer view of the fleet. Ignores a view of a lower revision, and records that are
+    // not newer than those the engine knows.
     void onView(std::shared_ptr<const fleet_view> view, steady_time now);
-    // Answers heartbeats, claims, releases and expiry notices; other messages get an error reply.
+    // Returns the reply to a heartbeat, claim, release or expiry notice from another instance. Any
+    // other message gets an error reply.
     wire::Reply onRequest(const wire::Request &request, steady_time now);
 
-    // The upstream beside the daemon serves. It counts as down at the start.
+    // Called when the local upstream accepts requests. The engine assumes at first that the
+    // upstream is down.
     void onUpstreamUp(steady_time now);
-    // The upstream is gone: stops serving and releases all leases at once.
+    // Called when the local upstream is down. Stops serving and releases all leases at once.
     void onUpstreamDown(steady_time now);
 
-    // Graceful shutdown: hands every partition to its first live standby, or releases it when the
-    // platform is unavailable, after its requests in flight. Claims nothing from then on.
+    // Starts a graceful shutdown. Drains every partition and then moves it to its first live
+    // standby, or releases it if it has no live standby or the platform is unavailable. Claims no
+    // partition from then on.
     void drainAll(steady_time now);
-    // Whether no lease is held or being released; true at some time after drainAll(). The messages
-    // that release the leases may still be on their way.
+    // Returns whether this instance neither claims, holds nor releases any lease. Becomes true some
+    // time after drainAll(). The release messages may not have reached the witnesses yet.
     bool isDrained() const;
 
 private:
@@ -103,7 +115,7 @@
     std::unique_ptr<state> m_state;
 };
 
-// Collects the parts of an ownership_engine. Required: self, hooks and servingTable.
+// Builds an ownership_engine. self(), hooks() and servingTable() are required.
 class ownership_engine::builder
 {
 public:
@@ -113,7 +125,7 @@
     builder &servingTable(serving_table &table);
     builder &timing(lease_timing timing);
     builder &writeLimits(write_rate_limiter::limits limits);
-    // Seed of the jitter.
+    // Seed of the random delays.
     builder &seed(uint64_t seed);
     ownership_engine build();
 
--- a/src/persimmonrail/ownership/placement_record.cpp
+++ b/src/persimmonrail/ownership/placement_record.cpp
@@ -21,7 +21,8 @@
     }
     const std::vector<std::string> parts = absl::StrSplit(text, '/');
     if (parts.size() != 2 || parts[0].empty()) {
-        return absl::InvalidArgumentError(absl::StrCat("not an instance: ", text));
+        return absl::InvalidArgumentError(
+            absl::StrCat("not an instance id of the form \"name/incarnation\": ", text));
     }
     const auto incarnation = parseHex64(parts[1]);
     if (!incarnation.ok()) {
@@ -66,14 +67,16 @@
 {
     constexpr size_t witnessCount = 3;
     if (record.partition.empty() || record.range.first > record.range.last) {
-        return absl::InvalidArgumentError("record without partition or with an empty range");
+        return absl::InvalidArgumentError(
+            "the placement record has no partition name or an empty range");
     }
     if (record.owner.isNull()) {
-        return absl::InvalidArgumentError("record without owner");
+        return absl::InvalidArgumentError("the placement record has no owner");
     }
     if (record.witnesses.size() != witnessCount
         || (!record.previousWitnesses.empty() && record.previousWitnesses.size() != witnessCount)) {
-        return absl::InvalidArgumentError("a witness set has three members");
+        return absl::InvalidArgumentError(
+            "a witness set of the placement record does not have three members");
     }
     return absl::OkStatus();
 }
--- a/src/persimmonrail/ownership/recovery.cpp
+++ b/src/persimmonrail/ownership/recovery.cpp
@@ -10,11 +10,11 @@
     : m_timing(timing)
 { }
 
-void witness_evidence::onPing(const instance_id &witness, const instance_id &repliedBy,
-                              milliseconds uptime)
+void witness_evidence::onPingReply(const instance_id &witness, const instance_id &repliedBy,
+                                   milliseconds uptime)
 {
     if (repliedBy.name == witness.name && repliedBy.incarnation != witness.incarnation
-        && uptime > m_timing.lease + m_timing.driftMargin) {
+        && uptime > m_timing.leaseDuration + m_timing.driftMargin) {
         m_deadFrom[toString(witness)] = steady_time::min();
     }
 }
@@ -22,7 +22,7 @@
 void witness_evidence::onDocument(const service_document &document, steady_time now)
 {
     for (const auto &retired : document.retired) {
-        m_deadFrom.emplace(retired, now + m_timing.lease + m_timing.driftMargin);
+        m_deadFrom.emplace(retired, now + m_timing.leaseDuration + m_timing.driftMargin);
     }
 }
 
@@ -37,19 +37,19 @@
                                               const fleet_view &view, const instance_id &owner,
                                               steady_time now)
 {
-    const auto deadOf = [&](const std::vector<instance_id> &set) {
+    const auto deadWitnesses = [&](const std::vector<instance_id> &set) {
         std::vector<instance_id> dead;
         std::copy_if(set.begin(), set.end(), std::back_inserter(dead),
                      [&](const instance_id &id) { return evidence.isDead(id, now); });
         return dead;
     };
-    const auto lostMajority = [&](const std::vector<instance_id> &set) {
-        return deadOf(set).size() >= witnessCount - 1;
+    const auto hasLostMajority = [&](const std::vector<instance_id> &set) {
+        return deadWitnesses(set).size() >= witnessCount - 1;
     };
     placement_record recovered = record;
     const bool isJoint = !record.previousWitnesses.empty();
-    if (lostMajority(isJoint ? record.previousWitnesses : record.witnesses)) {
-        const auto dead = deadOf(record.witnesses);
+    if (hasLostMajority(isJoint ? record.previousWitnesses : record.witnesses)) {
+        const auto dead = deadWitnesses(record.witnesses);
         recovered.witnesses = completeWitnesses(view, owner, {}, dead);
         recovered.previousWitnesses.clear();
         recovered.owner = owner;
@@ -57,10 +57,10 @@
         recovered.nextOwner = {};
         recovered.standbys =
             chooseStandbys(view, serviceOfPartition(record.partition), owner, record.partition);
-    } else if (isJoint && lostMajority(record.witnesses)) {
-        const auto dead = deadOf(record.witnesses);
-        const auto &ownerToSpread = view.findMember(record.owner) != nullptr ? record.owner : owner;
-        recovered.witnesses = completeWitnesses(view, ownerToSpread, {}, dead);
+    } else if (isJoint && hasLostMajority(record.witnesses)) {
+        const auto dead = deadWitnesses(record.witnesses);
+        const auto &spreadOwner = view.findMember(record.owner) != nullptr ? record.owner : owner;
+        recovered.witnesses = completeWitnesses(view, spreadOwner, {}, dead);
     } else {
         return std::nullopt;
     }
--- a/src/persimmonrail/ownership/recovery.h
+++ b/src/persimmonrail/ownership/recovery.h
@@ -13,37 +13,42 @@
 
 namespace persimmonrail {
 
-// Added to the term at a recovery; exceeds any number of failovers that can occur unrecorded.
+// Added to the term of a record when its partition is recovered. The step exceeds the number of
+// failovers that can occur without being recorded.
 inline constexpr uint64_t recoveryTermStep = uint64_t{1} << 20;
 
-// Proof that incarnations of witnesses are permanently dead (rule R3). Not thread safe.
+// Collects the evidence that incarnations of witnesses are permanently dead, as rule R3 of
+// docs/design.md requires for a recovery. Not thread safe.
 class witness_evidence
 {
 public:
     explicit witness_evidence(lease_timing timing = {});
 
-    // Takes the answer to a ping sent to the address of `witness`. An answer of another incarnation
-    // that has run for longer than lease + drift margin proves that `witness` is dead and that
-    // every lease it acknowledged has expired.
-    void onPing(const instance_id &witness, const instance_id &repliedBy, milliseconds uptime);
-    // Takes the `retired` entries of a document; they count after lease + drift margin.
+    // Records the reply to a ping that was sent to the address of `witness`. A reply from another
+    // incarnation of the same name that has run for longer than `leaseDuration` + `driftMargin`
+    // proves that `witness` is dead and that every lease it acknowledged has expired.
+    void onPingReply(const instance_id &witness, const instance_id &repliedBy, milliseconds uptime);
+    // Records the instances that a document lists as `retired`. Each of them counts as dead once
+    // more than `leaseDuration` + `driftMargin` has passed since this instance first saw its entry.
     void onDocument(const service_document &document, steady_time now);
+    // Returns whether `witness` is known to be permanently dead at `now`.
     bool isDead(const instance_id &witness, steady_time now) const;
 
 private:
     lease_timing m_timing;
-    // Time from which the evidence counts, by instance as text.
+    // Time after which an instance counts as dead, by the text form of its id.
     std::map<std::string, steady_time> m_deadFrom;
 };
 
-// Returns the record that recovers a partition whose witnesses can no longer form a majority, or
-// nothing if a majority remains possible or no new witness set is available.
+// Returns the record that recovers a partition whose witnesses can no longer form a majority.
+// Returns nothing if a majority is still possible or the region has too few members for a new
+// witness set.
 //
-// During a witness change the decision depends on the previous set alone. While it has a majority,
-// an instance that knows only the record before the change can still hold or win the lease there,
-// so the previous set stays in force, only the new set is replaced, and owner and term are kept.
-// With the majority of the set in force dead, `owner` becomes the owner with a term that no
-// earlier holder can have reached.
+// If a majority of the deciding witness set is dead, `owner` becomes the owner under a term that no
+// earlier holder can have reached. The deciding set is the current set, or the previous set during
+// a witness change: as long as the previous set can form a majority, an instance that knows only
+// the record before the change can still hold or win the lease. If only the new set has lost its
+// majority, the new set alone is replaced; the previous set, the owner and the term are kept.
 std::optional<placement_record> recoverRecord(const placement_record &record,
                                               const witness_evidence &evidence,
                                               const fleet_view &view, const instance_id &owner,
--- a/src/persimmonrail/ownership/serving_table.cpp
+++ b/src/persimmonrail/ownership/serving_table.cpp
@@ -6,33 +6,33 @@
 
 namespace persimmonrail {
 
-serving_table::ticket::ticket(serving_lease lease, std::shared_ptr<std::atomic<size_t>> count)
+serving_table::ticket::ticket(serving_lease lease, std::shared_ptr<std::atomic<size_t>> inFlight)
     : m_lease(std::move(lease))
-    , m_count(std::move(count))
+    , m_inFlight(std::move(inFlight))
 {
-    ++*m_count;
+    ++*m_inFlight;
 }
 
 serving_table::ticket &serving_table::ticket::operator=(ticket &&other) noexcept
 {
     if (this != &other) {
-        finish();
+        release();
         m_lease = std::move(other.m_lease);
-        m_count = std::move(other.m_count);
+        m_inFlight = std::move(other.m_inFlight);
     }
     return *this;
 }
 
 serving_table::ticket::~ticket()
 {
-    finish();
+    release();
 }
 
-void serving_table::ticket::finish()
+void serving_table::ticket::release()
 {
-    if (m_count) {
-        --*m_count;
-        m_count.reset();
+    if (m_inFlight) {
+        --*m_inFlight;
+        m_inFlight.reset();
     }
 }
 
@@ -59,7 +59,8 @@
     if (found == nullptr) {
         return std::nullopt;
     }
-    return ticket({found->first, found->second.term, found->second.leaseEnd}, found->second.count);
+    return ticket({found->first, found->second.term, found->second.leaseEnd},
+                  found->second.inFlight);
 }
 
 void serving_table::publish(const std::string &partition, hash_range range, uint64_t term,
@@ -68,7 +69,7 @@
     const std::lock_guard lock(m_mutex);
     auto &entry = m_entries[partition];
     if (entry.term != term) {
-        entry.since = now;
+        entry.servingSince = now;
     }
     entry.range = range;
     entry.term = term;
@@ -101,7 +102,7 @@
     if (it == m_entries.end() || it->second.term != term) {
         return std::nullopt;
     }
-    return it->second.since;
+    return it->second.servingSince;
 }
 
 void serving_table::stop(const std::string &partition)
@@ -116,13 +117,13 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_entries.find(partition);
-    return it == m_entries.end() ? 0 : it->second.count->load();
+    return it == m_entries.end() ? 0 : it->second.inFlight->load();
 }
 
 const serving_table::entry_map::value_type *
 serving_table::findEntry(std::string_view service, uint64_t hash, steady_time now) const
 {
-    // An instance serves a handful of partitions, so a scan is enough.
+    // A linear scan is enough, because an instance serves only a few partitions.
     const entry_map::value_type *smallest = nullptr;
     for (auto it = m_entries.lower_bound(service); it != m_entries.end(); ++it) {
         if (!it->first.starts_with(service)) {
--- a/src/persimmonrail/ownership/tests/engine_shutdown_test.cpp
+++ b/src/persimmonrail/ownership/tests/engine_shutdown_test.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// One engine that owns a partition without standbys, and its three witnesses.
-class lone_owner
+// An engine that owns one partition without standbys, and the three witnesses of the partition.
+class single_owner_fixture
 {
 public:
-    lone_owner()
+    single_owner_fixture()
         : engine(
             ownership_engine::builder().self(self).hooks(makeHooks()).servingTable(table).build())
     {
@@ -95,11 +95,12 @@
 
 } // namespace
 
-// Guards against a graceful shutdown that lets the lease end under a request in flight, which would
-// be cancelled at an upstream that does not check grants.
-TEST_CASE("a shutdown without a standby keeps the lease until requests have ended", "[ownership]")
+// Guards against a graceful shutdown that lets the lease end while a request is in flight. An
+// upstream that does not check grants would have the request cancelled.
+TEST_CASE("a shutdown without a standby renews the lease until the requests in flight have ended",
+          "[ownership]")
 {
-    lone_owner owner;
+    single_owner_fixture owner;
     auto ticket = owner.table.begin("ledger", 7, owner.now);
     REQUIRE(ticket);
     const auto lease = ticket->lease();
--- a/src/persimmonrail/ownership/tests/lease_witness_test.cpp
+++ b/src/persimmonrail/ownership/tests/lease_witness_test.cpp
@@ -16,7 +16,7 @@
     const char *sender;
     uint64_t recordVersion;
     uint64_t term;
-    // Not checked for releases, which get no verdict.
+    // A release gets no verdict, so its value stays UNSPECIFIED.
     wire::LeaseVerdict::Code expected = wire::LeaseVerdict::UNSPECIFIED;
     uint64_t incarnation = 7;
 };
@@ -58,57 +58,59 @@
 
 } // namespace
 
-// Guards against a witness that grants a lease before the earlier one ended, or that forgets which
-// record or term it has seen.
+// Guards against a witness that grants a lease before the previous lease has ended, or that accepts
+// an older record version or term than one it has seen. The names refer to the rules of
+// docs/design.md.
 TEST_CASE("witness rules", "[ownership]")
 {
     using verdict = wire::LeaseVerdict;
-    constexpr auto beat = step_kind::Heartbeat;
+    constexpr auto heartbeat = step_kind::Heartbeat;
     constexpr auto claim = step_kind::Claim;
     constexpr auto release = step_kind::Release;
     const sequence sequences[] = {
-        {"W1: another incarnation is refused",
+        {"W1: a message for another incarnation is rejected",
          {{claim, 0, "a", 5, 1, verdict::STALE_INCARNATION, 8},
-          {beat, 1, "a", 5, 1, verdict::STALE_INCARNATION, 8},
+          {heartbeat, 1, "a", 5, 1, verdict::STALE_INCARNATION, 8},
           {claim, 2, "a", 5, 1, verdict::GRANTED}}},
-        {"W2: a lower record version is refused",
-         {{claim, 0, "a", 5, 1, verdict::GRANTED}, {beat, 1, "a", 4, 1, verdict::STALE_RECORD}}},
-        {"W2: a higher version is adopted by a refused claim",
+        {"W2: a lower record version is rejected",
+         {{claim, 0, "a", 5, 1, verdict::GRANTED},
+          {heartbeat, 1, "a", 4, 1, verdict::STALE_RECORD}}},
+        {"W2: a higher record version is adopted from a rejected claim",
          {{claim, 0, "a", 5, 1, verdict::GRANTED},
           {claim, 1, "b", 6, 2, verdict::HELD},
-          {beat, 2, "a", 5, 1, verdict::STALE_RECORD},
-          {beat, 3, "a", 6, 1, verdict::GRANTED}}},
+          {heartbeat, 2, "a", 5, 1, verdict::STALE_RECORD},
+          {heartbeat, 3, "a", 6, 1, verdict::GRANTED}}},
         {"W2: a release under an outdated record has no effect",
          {{claim, 0, "a", 5, 1, verdict::GRANTED},
-          {beat, 1, "a", 6, 1, verdict::GRANTED},
+          {heartbeat, 1, "a", 6, 1, verdict::GRANTED},
           {release, 2, "a", 5, 1},
           {claim, 3, "b", 6, 2, verdict::HELD}}},
-        {"W3: a heartbeat of the holder renews even an expired lease",
+        {"W3: a heartbeat of the holder renews an expired lease",
          {{claim, 0, "a", 5, 1, verdict::GRANTED},
-          {beat, 3000, "a", 5, 1, verdict::GRANTED},
+          {heartbeat, 3000, "a", 5, 1, verdict::GRANTED},
           {claim, 4049, "b", 5, 2, verdict::HELD},
           {claim, 4050, "b", 5, 2, verdict::GRANTED}}},
-        {"W3: a heartbeat of a superseded term is refused",
+        {"W3: a heartbeat of a superseded term is rejected",
          {{claim, 0, "a", 5, 1, verdict::GRANTED},
           {claim, 1050, "b", 5, 2, verdict::GRANTED},
-          {beat, 1051, "a", 5, 1, verdict::STALE_TERM},
-          {beat, 3000, "a", 5, 2, verdict::STALE_TERM}}},
+          {heartbeat, 1051, "a", 5, 1, verdict::STALE_TERM},
+          {heartbeat, 3000, "a", 5, 2, verdict::STALE_TERM}}},
         {"W3: a heartbeat with a higher term is a claim",
          {{claim, 0, "a", 5, 1, verdict::GRANTED},
-          {beat, 500, "b", 5, 2, verdict::HELD},
-          {beat, 1050, "b", 5, 2, verdict::GRANTED}}},
+          {heartbeat, 500, "b", 5, 2, verdict::HELD},
+          {heartbeat, 1050, "b", 5, 2, verdict::GRANTED}}},
         {"W4: a term is granted once",
          {{claim, 0, "a", 5, 1, verdict::GRANTED},
           {claim, 1100, "b", 5, 1, verdict::STALE_TERM},
           {claim, 1100, "a", 5, 1, verdict::STALE_TERM}}},
-        {"W4: a claimant supersedes its own lower term",
+        {"W4: a claimant may supersede its own lower term",
          {{claim, 0, "a", 5, 1, verdict::GRANTED}, {claim, 1, "a", 5, 2, verdict::GRANTED}}},
         {"W5: a release ends the lease and closes the term",
          {{claim, 0, "a", 5, 1, verdict::GRANTED},
           {release, 1, "a", 5, 1},
-          {beat, 2, "a", 5, 1, verdict::STALE_TERM},
+          {heartbeat, 2, "a", 5, 1, verdict::STALE_TERM},
           {claim, 3, "b", 5, 2, verdict::GRANTED}}},
-        {"W5: only the holder of the term releases it",
+        {"W5: only the holder of a term can release the lease",
          {{claim, 0, "a", 5, 2, verdict::GRANTED},
           {release, 1, "b", 5, 2},
           {release, 1, "a", 5, 1},
@@ -123,7 +125,8 @@
     }
 }
 
-// Guards against standbys that never hear of an expired lease, or that hear of a live one.
+// Guards against standbys that are not notified of an expired lease, or that are notified while the
+// lease is valid.
 TEST_CASE("expiry notices are repeated until a claim is granted", "[ownership]")
 {
     lease_witness witness(self);
@@ -140,7 +143,7 @@
         perform(witness, {step_kind::Claim, 1300, "b", 5, 2});
         CHECK(noticesAt(2000) == 0);
     }
-    SECTION("after a release at once")
+    SECTION("immediately after a release")
     {
         perform(witness, {step_kind::Claim, 0, "a", 5, 1});
         perform(witness, {step_kind::Release, 10, "a", 5, 1});
@@ -150,7 +153,7 @@
     }
     SECTION("for a partition that is never claimed")
     {
-        witness.watch("haulbook/0", start);
+        witness.startNotices("haulbook/0", start);
         CHECK(noticesAt(1049) == 0);
         CHECK(noticesAt(1050) == 1);
     }
--- a/src/persimmonrail/ownership/tests/placement_record_test.cpp
+++ b/src/persimmonrail/ownership/tests/placement_record_test.cpp
@@ -20,11 +20,12 @@
 
 } // namespace
 
-// Guards against losing 64-bit precision or a field on the way through the platform.
-TEST_CASE("a record survives encoding", "[ownership]")
+// Guards against a field that is lost, or a 64-bit number that loses precision, when a record is
+// stored and read again.
+TEST_CASE("a decoded record equals the encoded record", "[ownership]")
 {
     auto record = exampleRecord();
-    SECTION("plain") { }
+    SECTION("without changes in progress") { }
     SECTION("during a witness change")
     {
         record.previousWitnesses = record.witnesses;
@@ -38,8 +39,8 @@
     CHECK(*decoded == record);
 }
 
-// Guards against acting on a damaged record, which could give a partition a second owner.
-TEST_CASE("records that violate an invariant are refused", "[ownership]")
+// Guards against the use of a damaged record, which could give a partition a second owner.
+TEST_CASE("a record that violates an invariant is rejected", "[ownership]")
 {
     auto record = exampleRecord();
     SECTION("two witnesses")
@@ -61,7 +62,7 @@
     CHECK(decodeRecord(encodeRecord(record)).status().code() == absl::StatusCode::kInvalidArgument);
 }
 
-TEST_CASE("text that is no record is refused", "[ownership]")
+TEST_CASE("text that is not a record is rejected", "[ownership]")
 {
     for (const char *text :
          {"", "[]", "{}", "{\"partition\":1}", "\xff", "{\"partition\":\"a\"}"}) {
--- a/src/persimmonrail/ownership/tests/recovery_test.cpp
+++ b/src/persimmonrail/ownership/tests/recovery_test.cpp
@@ -19,9 +19,9 @@
     return {absl::StrCat("ledger-", index), incarnation};
 }
 
-// `members` instances, `perHost` of them on each host, hosts spread over `zones` availability
-// zones.
-fleet_view viewOf(int members, int zones, int perHost = 1)
+// Returns a view with `members` instances, `perHost` of them on each host. The hosts are spread
+// evenly over `zones` availability zones.
+fleet_view makeView(int members, int zones, int perHost = 1)
 {
     fleet_view view;
     for (int i = 0; i < members; ++i) {
@@ -39,8 +39,8 @@
 
 } // namespace
 
-// Guards against witness sets that one host or availability zone can take down.
-TEST_CASE("witnesses are spread", "[ownership]")
+// Guards against witness sets that lose their majority with one host or availability zone.
+TEST_CASE("witnesses are spread over hosts and availability zones", "[ownership]")
 {
     struct
     {
@@ -55,7 +55,7 @@
         {4, 4, 1, 3, 3, 3},  {5, 3, 9, 3, 1, 1},  {3, 3, 1, 2, 2, 2},
     };
     for (const auto &test : cases) {
-        const auto view = viewOf(test.members, test.zones, test.perHost);
+        const auto view = makeView(test.members, test.zones, test.perHost);
         for (int owner = 0; owner < test.members; ++owner) {
             CAPTURE(test.members, test.zones, test.perHost, owner);
             const auto witnesses = chooseWitnesses(view, member(owner), "ledger/0");
@@ -75,26 +75,29 @@
             }
         }
     }
-    CHECK(chooseWitnesses(viewOf(6, 3), member(0, 2), "ledger/0").empty());
+    CHECK(chooseWitnesses(makeView(6, 3), member(0, 2), "ledger/0").empty());
 }
 
-// Guards against standbys that are lost together with the owner.
-TEST_CASE("standbys are other members of the service, far ones first", "[ownership]")
+// Guards against standbys that fail together with the owner because they share its availability
+// zone.
+TEST_CASE("standbys are other members of the service, those in other availability zones first",
+          "[ownership]")
 {
-    const auto view = viewOf(12, 3);
+    const auto view = makeView(12, 3);
     const auto standbys = chooseStandbys(view, "ledger", member(0), "ledger/0");
     REQUIRE(standbys.size() == 3);
     for (const auto &id : standbys) {
         CHECK(view.findMember(id)->service == "ledger");
         CHECK(view.findMember(id)->availabilityZone != "zone-0");
     }
-    CHECK(chooseStandbys(viewOf(3, 3), "ledger", member(0), "ledger/0").size() == 1);
+    CHECK(chooseStandbys(makeView(3, 3), "ledger", member(0), "ledger/0").size() == 1);
 }
 
-// Guards against a recovery while some instance can still form a majority (R3).
-TEST_CASE("recovery needs proof that no majority remains", "[ownership]")
+// Guards against a recovery while an instance can still obtain a majority of the witnesses (rule R3
+// of docs/design.md).
+TEST_CASE("recovery requires evidence that no majority is possible", "[ownership]")
 {
-    const auto view = viewOf(12, 3);
+    const auto view = makeView(12, 3);
     placement_record record;
     record.partition = "ledger/0";
     record.range = {0, 9};
@@ -111,10 +114,16 @@
     } const cases[] = {
         {"one witness dead", false, {1}, result::Nothing},
         {"two witnesses dead", false, {1, 3}, result::NewOwner},
-        {"during a change, one of each set dead", true, {1, 4}, result::Nothing},
-        {"during a change, majority of the previous set dead", true, {4, 5}, result::NewOwner},
-        // The previous set can still elect an instance that does not know the change.
-        {"during a change, majority of the new set dead", true, {1, 2}, result::NewWitnesses},
+        {"during a witness change, one witness of each set dead", true, {1, 4}, result::Nothing},
+        {"during a witness change, majority of the previous set dead",
+         true,
+         {4, 5},
+         result::NewOwner},
+        // An instance that does not know the change can still win the lease at the previous set.
+        {"during a witness change, majority of the new set dead",
+         true,
+         {1, 2},
+         result::NewWitnesses},
     };
     for (const auto &test : cases) {
         CAPTURE(test.name);
@@ -124,7 +133,7 @@
         }
         witness_evidence evidence;
         for (const int index : test.dead) {
-            evidence.onPing(member(index), member(index, 2), milliseconds(1051));
+            evidence.onPingReply(member(index), member(index, 2), milliseconds(1051));
         }
         const auto recovered = recoverRecord(changed, evidence, view, member(6), start);
         REQUIRE(recovered.has_value() == (test.expected != result::Nothing));
@@ -141,23 +150,25 @@
     }
 }
 
-// Guards against a recovery while a lease that a dead witness acknowledged may still run.
-TEST_CASE("evidence of a dead witness", "[ownership]")
+// Guards against a recovery before a lease that the dead witness acknowledged has certainly
+// expired.
+TEST_CASE("a witness counts as dead only after the leases it acknowledged have expired",
+          "[ownership]")
 {
     witness_evidence evidence;
     const auto isDead = [&](int ms) {
         return evidence.isDead(member(1), start + milliseconds(ms));
     };
-    SECTION("pings")
+    SECTION("ping replies of another incarnation")
     {
-        evidence.onPing(member(1), member(1), milliseconds(5000));
-        evidence.onPing(member(1), member(2, 9), milliseconds(5000));
-        evidence.onPing(member(1), member(1, 9), milliseconds(1050));
+        evidence.onPingReply(member(1), member(1), milliseconds(5000));
+        evidence.onPingReply(member(1), member(2, 9), milliseconds(5000));
+        evidence.onPingReply(member(1), member(1, 9), milliseconds(1050));
         CHECK(!isDead(0));
-        evidence.onPing(member(1), member(1, 9), milliseconds(1051));
+        evidence.onPingReply(member(1), member(1, 9), milliseconds(1051));
         CHECK(isDead(0));
     }
-    SECTION("retired by the operator")
+    SECTION("listed as retired in a document")
     {
         service_document document;
         document.retired = {toString(member(1))};
@@ -168,13 +179,15 @@
     }
 }
 
-// Guards against a lease that outlasts the promise of the witnesses (H1).
-TEST_CASE("the lease ends one lease after the send time that completed the majority", "[ownership]")
+// Guards against a holder whose lease ends later than the witnesses assume (rule H1 of
+// docs/design.md).
+TEST_CASE("the lease ends one lease duration after the send time that completed the majority",
+          "[ownership]")
 {
     struct
     {
         bool isJoint;
-        // Send times in ms by witness; witness 3 is in both sets.
+        // Send times in milliseconds after the start, by witness. Witness 3 is in both sets.
         std::map<int, int> acks;
         std::optional<int> end;
     } const cases[] = {
--- a/src/persimmonrail/ownership/tests/serving_table_test.cpp
+++ b/src/persimmonrail/ownership/tests/serving_table_test.cpp
@@ -18,8 +18,9 @@
 
 } // namespace
 
-// Guards against a hand-over after the lease has ended, for example after a pause (H2).
-TEST_CASE("a lease is found only while it outlasts the guard", "[ownership]")
+// Guards against a dispatch after the lease has ended, for example when the process was paused
+// (rule H2 of docs/design.md).
+TEST_CASE("a lease is found only while more than the dispatch margin of it remains", "[ownership]")
 {
     serving_table table;
     table.publish("ledger/0", {100, 200}, 3, after(1000), start);
@@ -42,7 +43,7 @@
     }
     table.publish("ledger/0-single", {150, 150}, 9, after(500), start);
     CHECK(table.find("ledger", 150, after(0))->term == 9);
-    // The enclosing range must not serve a key whose own lease has ended.
+    // A key with a partition of its own must not be served under the lease of the enclosing range.
     CHECK(!table.find("ledger", 150, after(600)));
     table.stop("ledger/0");
     CHECK(!table.find("ledger", 151, after(0)));
@@ -50,9 +51,9 @@
     CHECK(table.find("ledger", 151, after(0)));
 }
 
-// Guards against a tenure that seems to have begun earlier than it did: an idempotency key that an
-// earlier owner may have seen would then be accepted.
-TEST_CASE("the start of a tenure is when its term was first served", "[ownership]")
+// Guards against a start of the tenure that lies too early. An idempotency key that an earlier
+// owner may have seen would then be accepted.
+TEST_CASE("a tenure starts when its term is first served", "[ownership]")
 {
     serving_table table;
     CHECK(!table.servingSince("ledger/0", 3));
@@ -65,8 +66,8 @@
     CHECK(!table.servingSince("ledger/0", 3));
 }
 
-// Guards against a drain that misses a request admitted at the same moment.
-TEST_CASE("after a stop every admitted request is counted", "[ownership]")
+// Guards against a drain that does not wait for a request admitted concurrently with stop().
+TEST_CASE("every admitted request is counted once stop() has returned", "[ownership]")
 {
     serving_table table;
     for (int round = 0; round < 200; ++round) {
@@ -86,33 +87,33 @@
     CHECK(table.inFlight("ledger/0") == 0);
 }
 
-// Guards against a burst of writes when the platform returns.
-TEST_CASE("writes are paced and back off", "[ownership]")
+// Guards against a burst of writes when the platform becomes available again.
+TEST_CASE("the write rate is limited, and rejected writes cause a backoff", "[ownership]")
 {
     write_rate_limiter limiter({}, 1);
     int burst = 0;
-    while (limiter.isReady(start) && burst < 100) {
-        limiter.take(start);
+    while (limiter.canCall(start) && burst < 100) {
+        limiter.takeToken(start);
         ++burst;
     }
     CHECK(burst == 8);
-    CHECK(!limiter.isReady(after(900)));
-    CHECK(limiter.isReady(after(1000)));
-    milliseconds longest{0};
+    CHECK(!limiter.canCall(after(900)));
+    CHECK(limiter.canCall(after(1000)));
+    milliseconds maxWait{0};
     auto now = after(60000);
     for (int i = 0; i < 12; ++i) {
-        limiter.onRefused(now);
-        auto waited = milliseconds(0);
-        while (limiter.isBackingOff(now + waited)) {
-            waited += milliseconds(1);
+        limiter.onRejected(now);
+        auto wait = milliseconds(0);
+        while (limiter.isBackingOff(now + wait)) {
+            wait += milliseconds(1);
         }
-        CHECK(waited >= milliseconds(125));
-        CHECK(waited <= milliseconds(10001));
-        longest = std::max(longest, waited);
-        now += waited;
+        CHECK(wait >= milliseconds(125));
+        CHECK(wait <= milliseconds(10001));
+        maxWait = std::max(maxWait, wait);
+        now += wait;
     }
-    CHECK(longest > milliseconds(5000));
+    CHECK(maxWait > milliseconds(5000));
     limiter.onResponse();
-    limiter.onRefused(now);
+    limiter.onRejected(now);
     CHECK(!limiter.isBackingOff(now + milliseconds(251)));
 }
--- a/src/persimmonrail/ownership/tests/simulation.cpp
+++ b/src/persimmonrail/ownership/tests/simulation.cpp
@@ -14,7 +14,7 @@
 constexpr size_t partitionCount = 4;
 constexpr milliseconds tickInterval{20};
 constexpr milliseconds probeInterval{5};
-constexpr milliseconds faultPeriod{12000};
+constexpr milliseconds faultDuration{12000};
 
 } // namespace
 
@@ -22,7 +22,7 @@
     : m_disabled(disabled)
     , m_random(seed)
     , m_nodes(nodeCount)
-    , m_faultsEnd(m_now + faultPeriod)
+    , m_faultsEnd(m_now + faultDuration)
 {
     if (disabled.waitForExpiry) {
         m_timing.driftMargin = milliseconds(-600);
@@ -30,7 +30,7 @@
     for (size_t i = 0; i < nodeCount; ++i) {
         m_nodes[i].id.name = absl::StrCat("berthdesk-", i);
         m_nodes[i].zone = absl::StrCat("zone-", i % 3);
-        m_nodes[i].clockRate = 1 + 0.0002 * static_cast<double>(between(-100, 100).count());
+        m_nodes[i].clockRate = 1 + 0.0002 * static_cast<double>(randomDuration(-100, 100).count());
         startNode(i);
     }
     registerMembers();
@@ -45,21 +45,22 @@
 simulation_result simulation::run()
 {
     runUntil(m_faultsEnd);
-    const bool platformUp = chance(0.5);
-    stopFaults(platformUp);
+    const bool isPlatformUp = randomBool(0.5);
+    stopFaults(isPlatformUp);
     const auto stoppedAt = m_now;
-    const auto quick = quicklyRecoverable();
+    const auto quicklyRecoverable = quicklyRecoverablePartitions();
     runUntil(stoppedAt + milliseconds(2000));
     const auto requireServed = [&](const std::string &partition, std::string_view when) {
         if (m_history[partition].lastServed < stoppedAt) {
-            fail(absl::StrCat(partition, " is not served ", std::string(when),
-                              platformUp ? " with the platform" : " without the platform"));
+            recordViolation(
+                absl::StrCat(partition, " is not served ", std::string(when),
+                             isPlatformUp ? " with the platform" : " without the platform"));
         }
     };
-    for (const auto &partition : quick) {
+    for (const auto &partition : quicklyRecoverable) {
         requireServed(partition, "2 s after the faults");
     }
-    if (platformUp && m_result.violation.empty()) {
+    if (isPlatformUp && m_result.violation.empty()) {
         runUntil(stoppedAt + milliseconds(15000));
         for (const auto &[partition, history] : m_history) {
             requireServed(partition, "15 s after the faults");
@@ -68,9 +69,9 @@
     return m_result;
 }
 
-void simulation::replaceWitnessBehindStaleViews()
+void simulation::simulateWitnessReplacementWithStaleViews()
 {
-    m_faults = false;
+    m_areFaultsEnabled = false;
     const auto record = m_view->records.at("berthdesk/0").record;
     const auto standby =
         *std::find_if(record.standbys.begin(), record.standbys.end(), [&](auto &id) {
@@ -80,46 +81,48 @@
         m_nodes[indexOf(id)].viewFrozenUntil = m_faultsEnd;
         m_nodes[indexOf(id)].engine->onView(m_view, m_now);
     }
-    const auto cutFrom = [this](const instance_id &a, const instance_id &b, milliseconds delay) {
-        at(m_now + delay, [this, a = indexOf(a), b = indexOf(b)] {
-            m_cuts.insert({a, b});
-            m_cuts.insert({b, a});
+    const auto breakLinkBetween = [this](const instance_id &a, const instance_id &b,
+                                         milliseconds delay) {
+        schedule(m_now + delay, [this, a = indexOf(a), b = indexOf(b)] {
+            m_brokenLinks.insert({a, b});
+            m_brokenLinks.insert({b, a});
         });
     };
-    cutFrom(record.owner, record.witnesses[0], milliseconds(1000));
-    cutFrom(record.owner, record.witnesses[1], milliseconds(7500));
-    // Otherwise the standby would read the record back.
-    at(m_now + milliseconds(7500), [this] { m_platformUp = false; });
+    breakLinkBetween(record.owner, record.witnesses[0], milliseconds(1000));
+    breakLinkBetween(record.owner, record.witnesses[1], milliseconds(7500));
+    // The platform is down, because the standby would read the new record back otherwise.
+    schedule(m_now + milliseconds(7500), [this] { m_isPlatformUp = false; });
 }
 
-void simulation::shutDownGracefully(bool platformUp)
+void simulation::simulateGracefulShutdown(bool isPlatformUp)
 {
-    m_faults = false;
-    onNode(0, m_now + milliseconds(3000), [this, platformUp](node &node) {
-        m_platformUp = platformUp;
+    m_areFaultsEnabled = false;
+    scheduleOnNode(0, m_now + milliseconds(3000), [this, isPlatformUp](node &node) {
+        m_isPlatformUp = isPlatformUp;
         node.engine->drainAll(localTime(node));
     });
-    onNode(0, m_now + milliseconds(6000), [this](node &node) {
+    scheduleOnNode(0, m_now + milliseconds(6000), [this](node &node) {
         if (!node.engine->isDrained()) {
-            fail("not drained 3 s after the start of the shutdown");
+            recordViolation("not drained 3 s after the start of the shutdown");
         }
     });
 }
 
-void simulation::at(steady_time time, std::function<void()> action)
+void simulation::schedule(steady_time time, std::function<void()> action)
 {
-    m_events.push({time, m_order++, std::move(action)});
+    m_events.push({time, m_nextEventOrder++, std::move(action)});
 }
 
-void simulation::onNode(size_t index, steady_time time, const std::function<void(node &)> &action)
+void simulation::scheduleOnNode(size_t index, steady_time time,
+                                const std::function<void(node &)> &action)
 {
-    at(time, [this, index, generation = m_nodes[index].generation, action] {
+    schedule(time, [this, index, generation = m_nodes[index].generation, action] {
         auto &node = m_nodes[index];
         if (node.generation != generation) {
             return;
         }
         if (m_now < node.pausedUntil) {
-            onNode(index, node.pausedUntil, action);
+            scheduleOnNode(index, node.pausedUntil, action);
             return;
         }
         action(node);
@@ -144,14 +147,14 @@
         + std::chrono::duration_cast<steady_time::duration>(elapsed * node.clockRate);
 }
 
-bool simulation::chance(double probability)
+bool simulation::randomBool(double probability)
 {
     return std::uniform_real_distribution<double>(0, 1)(m_random) < probability;
 }
 
-milliseconds simulation::between(int low, int high)
+milliseconds simulation::randomDuration(int minMs, int maxMs)
 {
-    return milliseconds(std::uniform_int_distribution<int>(low, high)(m_random));
+    return milliseconds(std::uniform_int_distribution<int>(minMs, maxMs)(m_random));
 }
 
 size_t simulation::indexOf(const instance_id &id) const
@@ -167,7 +170,7 @@
     ++node.generation;
     node.id.incarnation = m_random() | 1;
     node.startedAt = m_now;
-    node.registered = false;
+    node.isRegistered = false;
     node.upstreamTerms.clear();
     node.table = std::make_unique<serving_table>(m_timing);
     node.engine = std::make_unique<ownership_engine>(ownership_engine::builder()
@@ -177,7 +180,7 @@
                                                          .timing(m_timing)
                                                          .seed(m_random())
                                                          .build());
-    if (node.upstreamUp) {
+    if (node.isUpstreamUp) {
         node.engine->onUpstreamUp(localTime(node));
     }
 }
@@ -214,10 +217,10 @@
 
 void simulation::scheduleTick(size_t index)
 {
-    // A tick chain outlives restarts, so it checks the pause itself. After a pause traffic threads
-    // may run before the control thread does.
-    const auto awake = m_nodes[index].pausedUntil + between(0, 15);
-    at(std::max(m_now + tickInterval, awake), [this, index] {
+    // Ticks continue across restarts, so the tick itself checks whether the node is paused. The
+    // random delay after a pause lets traffic threads run before the control thread.
+    const auto pauseEnd = m_nodes[index].pausedUntil + randomDuration(0, 15);
+    schedule(std::max(m_now + tickInterval, pauseEnd), [this, index] {
         auto &node = m_nodes[index];
         if (m_now >= node.pausedUntil) {
             const auto local = localTime(node);
@@ -233,10 +236,10 @@
 
 void simulation::scheduleProbe()
 {
-    at(m_now + probeInterval, [this] {
+    schedule(m_now + probeInterval, [this] {
         for (size_t i = 0; i < nodeCount; ++i) {
             for (auto &[partition, history] : m_history) {
-                probe(i, partition, history);
+                probeNode(i, partition, history);
             }
         }
         scheduleProbe();
@@ -245,8 +248,8 @@
 
 void simulation::scheduleFault()
 {
-    at(m_now + between(50, 600), [this] {
-        if (m_faults) {
+    schedule(m_now + randomDuration(50, 600), [this] {
+        if (m_areFaultsEnabled) {
             injectFault();
             scheduleFault();
         }
@@ -255,47 +258,53 @@
 
 void simulation::injectFault()
 {
-    const auto node = anyNode();
-    const auto other = anyNode();
-    switch (between(0, 9).count()) {
+    const auto node = randomNode();
+    const auto other = randomNode();
+    switch (randomDuration(0, 9).count()) {
     case 0:
     case 1:
-        m_cuts.insert({node, other});
-        at(m_now + between(200, 7000), [this, node, other] { m_cuts.erase({node, other}); });
+        m_brokenLinks.insert({node, other});
+        schedule(m_now + randomDuration(200, 7000), [this, node, other] {
+            m_brokenLinks.erase({node, other});
+        });
         break;
     case 2:
         for (size_t i = 0; i < nodeCount; ++i) {
-            m_cuts.insert({node, i});
-            at(m_now + between(200, 2500), [this, node, i] { m_cuts.erase({node, i}); });
+            m_brokenLinks.insert({node, i});
+            schedule(m_now + randomDuration(200, 2500), [this, node, i] {
+                m_brokenLinks.erase({node, i});
+            });
         }
         break;
     case 3:
     case 4:
-        pauseNode(node, between(50, 2500));
+        pauseNode(node, randomDuration(50, 2500));
         break;
     case 5:
-        if (chance(0.5)) {
+        if (randomBool(0.5)) {
             restartNode(node);
-        } else if (chance(0.5)) {
-            onNode(node, m_now, [this](simulation::node &n) { n.engine->drainAll(localTime(n)); });
-            at(std::min(m_now + between(200, 2000), m_faultsEnd),
-               [this, node] { restartNode(node); });
+        } else if (randomBool(0.5)) {
+            scheduleOnNode(node, m_now,
+                           [this](simulation::node &n) { n.engine->drainAll(localTime(n)); });
+            schedule(std::min(m_now + randomDuration(200, 2000), m_faultsEnd),
+                     [this, node] { restartNode(node); });
         }
         break;
     case 6:
-        m_platformUp = false;
-        at(m_now + between(500, 4000), [this] { m_platformUp |= m_faults; });
+        m_isPlatformUp = false;
+        schedule(m_now + randomDuration(500, 4000),
+                 [this] { m_isPlatformUp |= m_areFaultsEnabled; });
         break;
     case 7:
-        m_nodes[node].viewFrozenUntil = m_now + between(500, 8000);
+        m_nodes[node].viewFrozenUntil = m_now + randomDuration(500, 8000);
         break;
     case 8:
         setUpstream(node, false);
-        at(m_now + between(100, 1500), [this, node] { setUpstream(node, true); });
+        schedule(m_now + randomDuration(100, 1500), [this, node] { setUpstream(node, true); });
         break;
     default:
         m_lossRate = 0.25;
-        at(m_now + between(200, 1500), [this] { m_lossRate = 0; });
+        schedule(m_now + randomDuration(200, 1500), [this] { m_lossRate = 0; });
         requestMove();
         break;
     }
@@ -306,7 +315,7 @@
     m_nodes[index].pausedUntil = std::min(m_now + duration, m_faultsEnd);
 }
 
-void simulation::endRequests(size_t index)
+void simulation::removeRequestsInFlight(size_t index)
 {
     for (auto &[partition, history] : m_history) {
         std::erase_if(history.inFlight, [&](const auto &r) { return r.node == index; });
@@ -315,85 +324,85 @@
 
 void simulation::restartNode(size_t index)
 {
-    endRequests(index);
+    removeRequestsInFlight(index);
     startNode(index);
-    pauseNode(index, between(20, 500));
+    pauseNode(index, randomDuration(20, 500));
 }
 
-void simulation::setUpstream(size_t index, bool up)
+void simulation::setUpstream(size_t index, bool isUp)
 {
-    m_nodes[index].upstreamUp = up;
-    if (!up) {
-        endRequests(index);
+    m_nodes[index].isUpstreamUp = isUp;
+    if (!isUp) {
+        removeRequestsInFlight(index);
     }
-    onNode(index, m_now, [this](node &node) {
-        node.upstreamUp ? node.engine->onUpstreamUp(localTime(node))
-                        : node.engine->onUpstreamDown(localTime(node));
+    scheduleOnNode(index, m_now, [this](node &node) {
+        node.isUpstreamUp ? node.engine->onUpstreamUp(localTime(node))
+                          : node.engine->onUpstreamDown(localTime(node));
     });
 }
 
-void simulation::stopFaults(bool platformUp)
+void simulation::stopFaults(bool isPlatformUp)
 {
-    m_faults = false;
-    m_cuts.clear();
+    m_areFaultsEnabled = false;
+    m_brokenLinks.clear();
     m_lossRate = 0;
-    m_platformUp = platformUp;
+    m_isPlatformUp = isPlatformUp;
     for (size_t i = 0; i < nodeCount; ++i) {
         m_nodes[i].viewFrozenUntil = m_now;
         setUpstream(i, true);
     }
 }
 
-void simulation::probe(size_t index, const std::string &partition, partition_history &history)
+void simulation::probeNode(size_t index, const std::string &partition, partition_history &history)
 {
     auto &node = m_nodes[index];
     while (!history.inFlight.empty() && history.inFlight.front().end <= m_now) {
         history.inFlight.pop_front();
     }
-    if (m_now < node.pausedUntil || !node.upstreamUp) {
+    if (m_now < node.pausedUntil || !node.isUpstreamUp) {
         return;
     }
-    const auto checkedAt = m_disabled.selfCheck ? node.lastTick : localTime(node);
+    const auto checkedAt = m_disabled.leaseCheck ? node.lastTick : localTime(node);
     auto ticket = node.table->begin("berthdesk", history.hash, checkedAt);
     if (!ticket) {
         return;
     }
     const auto term = ticket->lease().term;
-    const bool overlaps =
+    const bool hasOverlap =
         std::any_of(history.inFlight.begin(), history.inFlight.end(),
                     [&](const request_in_flight &other) { return other.node != index; });
-    const bool sharesTerm = term == history.term && index != history.node;
-    if (overlaps || sharesTerm || term < history.term) {
-        fail(absl::StrCat(partition, " served by ", node.id.name, " in term ", term, " after ",
-                          m_nodes[history.node].id.name, " in term ", history.term,
-                          overlaps ? ", requests overlap" : ""));
+    const bool isSameTermElsewhere = term == history.term && index != history.node;
+    if (hasOverlap || isSameTermElsewhere || term < history.term) {
+        recordViolation(absl::StrCat(partition, " served by ", node.id.name, " in term ", term,
+                                     " after ", m_nodes[history.node].id.name, " in term ",
+                                     history.term, hasOverlap ? ", requests overlap" : ""));
     }
     history.term = term;
     history.node = index;
     if (history.lastServed != steady_time::min()) {
         const auto gap = std::chrono::floor<milliseconds>(m_now - history.lastServed);
-        m_result.longestGap = std::max(m_result.longestGap, gap);
+        m_result.maxGap = std::max(m_result.maxGap, gap);
     }
     history.lastServed = m_now;
     ++m_result.served;
-    // Shorter than the hand-over guard, so that requests end within the lease.
-    history.inFlight.push_back({index, m_now + between(1, 15), std::move(ticket)});
+    // Requests are shorter than the dispatch margin of 20 ms, so that they end within the lease.
+    history.inFlight.push_back({index, m_now + randomDuration(1, 15), std::move(ticket)});
 }
 
-std::set<std::string> simulation::quicklyRecoverable() const
+std::set<std::string> simulation::quicklyRecoverablePartitions() const
 {
     std::set<std::string> partitions;
     for (const auto &[partition, entry] : m_view->records) {
         const auto &record = entry.record;
-        const auto keepsMajority = [&](const std::vector<instance_id> &set) {
+        const auto hasRunningMajority = [&](const std::vector<instance_id> &set) {
             return std::count_if(set.begin(), set.end(),
                                  [&](const auto &id) { return isRunning(id); })
                 >= 2;
         };
         auto claimants = record.standbys;
         claimants.push_back(record.owner);
-        if (keepsMajority(record.witnesses)
-            && (record.previousWitnesses.empty() || keepsMajority(record.previousWitnesses))
+        if (hasRunningMajority(record.witnesses)
+            && (record.previousWitnesses.empty() || hasRunningMajority(record.previousWitnesses))
             && std::any_of(claimants.begin(), claimants.end(),
                            [&](const auto &id) { return isRunning(id); })) {
             partitions.insert(partition);
@@ -407,7 +416,7 @@
     return m_nodes[indexOf(id)].id == id;
 }
 
-void simulation::fail(const std::string &text)
+void simulation::recordViolation(const std::string &text)
 {
     if (m_result.violation.empty()) {
         const auto ms = std::chrono::floor<milliseconds>(m_now.time_since_epoch()).count();
--- a/src/persimmonrail/ownership/tests/simulation.h
+++ b/src/persimmonrail/ownership/tests/simulation.h
@@ -15,64 +15,76 @@
 
 namespace persimmonrail {
 
-// Mechanisms that a run takes out, to show that the checker notices.
+// Mechanisms of the protocol that a simulation disables, to show that the checker detects the
+// missing mechanism. True disables the mechanism.
 struct disabled_mechanisms
 {
-    // Witnesses end leases 600 ms before the holder does.
+    // Witnesses treat a lease as expired 600 ms before the holder does.
     bool waitForExpiry = false;
-    // Hand-overs after a pause use the time before the pause.
-    bool selfCheck = false;
+    // Requests after a pause are checked against the time before the pause.
+    bool leaseCheck = false;
     // Witnesses ignore record versions.
     bool recordVersions = false;
 };
 
-// Result of one run. `violation` is empty if the checker found nothing.
+// Result of one simulation. `violation` is empty if the checker found no violation.
 struct simulation_result
 {
     std::string violation;
+    // Number of requests that were admitted.
     size_t served = 0;
-    // Longest time for which a partition was not served after it was first served.
-    milliseconds longestGap{0};
+    // Longest time between two admitted requests of one partition.
+    milliseconds maxGap{0};
 };
 
-// Runs several ownership engines under a virtual clock with a network, a platform and upstreams
-// that fail in random ways, and checks what was served. The checker sees only admitted requests,
-// never what an engine believes.
+// Runs several ownership engines under a virtual clock, with a simulated network, platform and
+// upstreams that fail at random, and checks which requests were served. The checker uses only the
+// admitted requests and grants, not the internal state of the engines.
 class simulation
 {
 public:
     simulation(uint64_t seed, disabled_mechanisms disabled);
 
+    // Runs the simulation and returns its result. Call once.
     simulation_result run();
-    // Replaces the random faults of the run by one scenario: the owner of one partition loses
-    // contact with two witnesses one after the other and replaces the first, while those two and a
-    // standby know only the first record.
-    void replaceWitnessBehindStaleViews();
-    // Replaces the random faults by the graceful shutdown of one instance.
-    void shutDownGracefully(bool platformUp);
-    // Decisions of all engines, for the analysis of a failed seed.
+    // Replaces the random faults by one scenario. The owner of one partition loses its connections
+    // to two witnesses one after the other and replaces the first witness, while the two witnesses
+    // and a standby still see only the first record.
+    void simulateWitnessReplacementWithStaleViews();
+    // Replaces the random faults by the graceful shutdown of one instance. The platform is
+    // available during the shutdown if `isPlatformUp`.
+    void simulateGracefulShutdown(bool isPlatformUp);
+    // Returns the log lines of all engines, for the analysis of a failed seed.
     const std::vector<std::string> &logLines() const { return m_log; }
 
 private:
+    // One instance with its daemon and its upstream.
     struct node
     {
         instance_id id;
         std::string zone;
+        // Number of times that the daemon has started.
         uint64_t generation = 0;
+        // Speed of the daemon's clock relative to the virtual clock.
         double clockRate = 1;
         std::unique_ptr<serving_table> table;
         std::unique_ptr<ownership_engine> engine;
         steady_time startedAt;
         steady_time pausedUntil;
+        // The engine receives no newer views before this time.
         steady_time viewFrozenUntil;
+        // Local time of the last tick.
         steady_time lastTick;
-        bool upstreamUp = true;
-        bool registered = false;
+        bool isUpstreamUp = true;
+        // Whether the platform lists the current incarnation as a member.
+        bool isRegistered = false;
+        // Term of the newest grant at the upstream, by partition.
         std::map<std::string, uint64_t> upstreamTerms;
     };
     struct event
     {
         steady_time at;
+        // Events at the same time run in ascending order.
         uint64_t order;
         std::function<void()> action;
         bool operator>(const event &other) const
@@ -86,23 +98,31 @@
         steady_time end;
         std::optional<serving_table::ticket> ticket;
     };
+    // What the checker has seen of one partition.
     struct partition_history
     {
+        // Key hash of the requests that the checker sends.
         uint64_t hash = 0;
+        // Term and node of the last admitted request.
         uint64_t term = 0;
         size_t node = 0;
         std::deque<request_in_flight> inFlight;
         steady_time lastServed = steady_time::min();
     };
 
-    void at(steady_time time, std::function<void()> action);
-    // Runs the action on the node unless it has restarted; a paused node runs it when it wakes up.
-    void onNode(size_t index, steady_time time, const std::function<void(node &)> &action);
+    // Runs the action at a time of the virtual clock.
+    void schedule(steady_time time, std::function<void()> action);
+    // Runs the action on a node at a time of the virtual clock. A paused node runs the action when
+    // its pause ends. A node that has restarted in the meantime does not run the action.
+    void scheduleOnNode(size_t index, steady_time time, const std::function<void(node &)> &action);
     void runUntil(steady_time end);
     steady_time localTime(const node &node) const;
-    bool chance(double probability);
-    milliseconds between(int low, int high);
-    size_t anyNode() { return m_random() % m_nodes.size(); }
+    // Returns true with the given probability.
+    bool randomBool(double probability);
+    // Returns a duration from `minMs` to `maxMs` milliseconds.
+    milliseconds randomDuration(int minMs, int maxMs);
+    size_t randomNode() { return m_random() % m_nodes.size(); }
+    // Returns the index of the node with the name of `id`, or m_nodes.size() if there is none.
     size_t indexOf(const instance_id &id) const;
 
     void startNode(size_t index);
@@ -113,11 +133,11 @@
     void scheduleFault();
     void injectFault();
     void pauseNode(size_t index, milliseconds duration);
-    // Requests that an upstream runs end with it.
-    void endRequests(size_t index);
+    // Removes the requests in flight at a node whose upstream or daemon stops.
+    void removeRequestsInFlight(size_t index);
     void restartNode(size_t index);
-    void setUpstream(size_t index, bool up);
-    void stopFaults(bool platformUp);
+    void setUpstream(size_t index, bool isUp);
+    void stopFaults(bool isPlatformUp);
 
     void sendMessage(size_t from, const instance_id &to, const wire::Request &request,
                      milliseconds timeout, const ownership_hooks::reply_completion &done);
@@ -133,25 +153,30 @@
     void requestMove();
     void publishView();
 
-    void probe(size_t index, const std::string &partition, partition_history &history);
-    // Partitions that must return within 2 s: both witness sets keep a majority and an instance
-    // that may claim runs.
-    std::set<std::string> quicklyRecoverable() const;
+    // Sends a request for the partition to the node and checks the result.
+    void probeNode(size_t index, const std::string &partition, partition_history &history);
+    // Returns the partitions that must be served within 2 s after the faults: both witness sets
+    // still have a running majority, and the owner or a standby is running.
+    std::set<std::string> quicklyRecoverablePartitions() const;
+    // Returns whether this incarnation is running.
     bool isRunning(const instance_id &id) const;
-    void fail(const std::string &text);
+    // Records the first violation, which ends the simulation.
+    void recordViolation(const std::string &text);
 
     disabled_mechanisms m_disabled;
     std::mt19937_64 m_random;
     lease_timing m_timing;
     steady_time m_now{std::chrono::hours(1)};
-    uint64_t m_order = 0;
+    uint64_t m_nextEventOrder = 0;
     std::priority_queue<event, std::vector<event>, std::greater<>> m_events;
     std::vector<node> m_nodes;
-    std::set<std::pair<size_t, size_t>> m_cuts;
+    // Pairs of sender and receiver whose messages are lost.
+    std::set<std::pair<size_t, size_t>> m_brokenLinks;
     double m_lossRate = 0;
-    bool m_faults = true;
+    bool m_areFaultsEnabled = true;
     steady_time m_faultsEnd;
-    bool m_platformUp = true;
+    bool m_isPlatformUp = true;
+    // Objects at the platform, by key.
     std::map<std::string, stored_object> m_objects;
     uint64_t m_revision = 0;
     std::shared_ptr<const fleet_view> m_view;
--- a/src/persimmonrail/ownership/tests/simulation_environment.cpp
+++ b/src/persimmonrail/ownership/tests/simulation_environment.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-// The network, the platform and the upstreams of the simulation.
+// Implements the network, the platform and the upstreams of the simulation.
 
 namespace persimmonrail {
 
@@ -21,20 +21,23 @@
             }
         };
     };
-    onNode(from, m_now + timeout, complete(absl::DeadlineExceededError("no reply")));
-    const int copies = m_faults && chance(0.03) ? 2 : 1;
+    scheduleOnNode(from, m_now + timeout,
+                   complete(absl::DeadlineExceededError("the receiver did not reply")));
+    const int copies = m_areFaultsEnabled && randomBool(0.03) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         const auto delay = [this] {
-            return m_faults && chance(0.02) ? between(1, 1600) : between(1, 4);
+            return m_areFaultsEnabled && randomBool(0.02) ? randomDuration(1, 1600)
+                                                          : randomDuration(1, 4);
         };
-        if (receiver == m_nodes.size() || chance(m_lossRate) || m_cuts.contains({from, receiver})) {
+        if (receiver == m_nodes.size() || randomBool(m_lossRate)
+            || m_brokenLinks.contains({from, receiver})) {
             continue;
         }
-        onNode(receiver, m_now + delay(), [=, this](node &target) {
+        scheduleOnNode(receiver, m_now + delay(), [=, this](node &target) {
             const auto reply = replyTo(target, request);
-            if (!chance(m_lossRate) && !m_cuts.contains({receiver, from})) {
-                // The sender may have restarted since; its new process never sees the reply.
-                onNode(from, m_now + delay(), complete(reply));
+            if (!randomBool(m_lossRate) && !m_brokenLinks.contains({receiver, from})) {
+                // A sender that has restarted in the meantime does not receive the reply.
+                scheduleOnNode(from, m_now + delay(), complete(reply));
             }
         });
     }
@@ -53,17 +56,17 @@
     }
     auto changed = request;
     if (m_disabled.recordVersions) {
-        const auto hide = [](wire::PartitionLease &lease) {
+        const auto overrideRecordVersion = [](wire::PartitionLease &lease) {
             lease.set_record_version(uint64_t{1} << 40);
         };
         if (request.has_heartbeat()) {
             for (auto &lease : *changed.mutable_heartbeat()->mutable_leases()) {
-                hide(lease);
+                overrideRecordVersion(lease);
             }
         } else if (request.has_claim()) {
-            hide(*changed.mutable_claim()->mutable_lease());
+            overrideRecordVersion(*changed.mutable_claim()->mutable_lease());
         } else if (request.has_release()) {
-            hide(*changed.mutable_release()->mutable_lease());
+            overrideRecordVersion(*changed.mutable_release()->mutable_lease());
         } else if (request.has_expiry_notice()) {
             changed.mutable_expiry_notice()->set_record_version(0);
         }
@@ -77,22 +80,24 @@
     const auto complete = [this, done](const absl::StatusOr<uint64_t> &version) {
         return [this, done, version](node &writer) { done(version, localTime(writer)); };
     };
-    at(m_now + between(1, 5), [=, this] {
-        const auto respondedAt = m_now + between(1, 5);
-        if (!m_platformUp) {
-            onNode(from, respondedAt, complete(absl::UnavailableError("platform is down")));
+    schedule(m_now + randomDuration(1, 5), [=, this] {
+        const auto respondedAt = m_now + randomDuration(1, 5);
+        if (!m_isPlatformUp) {
+            scheduleOnNode(from, respondedAt,
+                           complete(absl::UnavailableError("the platform is down")));
             return;
         }
-        if (m_faults && chance(0.15)) {
-            // The answer is lost; the write takes effect now, late or never.
-            onNode(from, respondedAt + between(0, 300), complete(absl::UnknownError("no answer")));
-            if (chance(0.7)) {
-                at(m_now + (chance(0.5) ? between(0, 5) : between(5, 3000)),
-                   [=, this] { (void)applyPut(key, expected, text); });
+        if (m_areFaultsEnabled && randomBool(0.15)) {
+            // The response is lost. The write takes effect now, late or never.
+            scheduleOnNode(from, respondedAt + randomDuration(0, 300),
+                           complete(absl::UnknownError("the platform did not respond")));
+            if (randomBool(0.7)) {
+                schedule(m_now + (randomBool(0.5) ? randomDuration(0, 5) : randomDuration(5, 3000)),
+                         [=, this] { (void)applyPut(key, expected, text); });
             }
             return;
         }
-        onNode(from, respondedAt, complete(applyPut(key, expected, text)));
+        scheduleOnNode(from, respondedAt, complete(applyPut(key, expected, text)));
     });
 }
 
@@ -101,7 +106,7 @@
 {
     auto &object = m_objects[key];
     if (object.version != expected) {
-        return absl::AbortedError("version differs");
+        return absl::AbortedError("the object has another version");
     }
     object = {key, ++m_revision, false, text};
     publishView();
@@ -111,29 +116,29 @@
 void simulation::get(size_t from, const std::string &key,
                      const ownership_hooks::get_completion &done)
 {
-    at(m_now + between(1, 5), [=, this] {
-        absl::StatusOr<stored_object> result = absl::UnavailableError("platform is down");
-        if (m_platformUp) {
+    schedule(m_now + randomDuration(1, 5), [=, this] {
+        absl::StatusOr<stored_object> result = absl::UnavailableError("the platform is down");
+        if (m_isPlatformUp) {
             result = m_objects.at(key);
         }
-        onNode(from, m_now + between(1, 5),
-               [this, done, result](node &reader) { done(result, localTime(reader)); });
+        scheduleOnNode(from, m_now + randomDuration(1, 5),
+                       [this, done, result](node &reader) { done(result, localTime(reader)); });
     });
 }
 
 void simulation::applyGrants(size_t index, const std::vector<lease_grant> &grants,
                              const ownership_hooks::grant_completion &done)
 {
-    onNode(index, m_now + between(1, 3), [this, grants, done](node &node) {
-        if (!node.upstreamUp || (m_faults && chance(0.02))) {
-            done(absl::UnavailableError("upstream does not answer"), localTime(node));
+    scheduleOnNode(index, m_now + randomDuration(1, 3), [this, grants, done](node &node) {
+        if (!node.isUpstreamUp || (m_areFaultsEnabled && randomBool(0.02))) {
+            done(absl::UnavailableError("the upstream does not respond"), localTime(node));
             return;
         }
         for (const auto &grant : grants) {
             auto &term = node.upstreamTerms[grant.partition];
             if (grant.term < term) {
-                fail(absl::StrCat("grant of term ", grant.term, " after ", term, " for ",
-                                  grant.partition));
+                recordViolation(absl::StrCat("grant of term ", grant.term, " after ", term, " for ",
+                                             grant.partition));
             }
             term = grant.term;
         }
@@ -144,24 +149,24 @@
 void simulation::registerMembers()
 {
     for (auto &node : m_nodes) {
-        if (m_platformUp && !node.registered) {
-            node.registered = true;
+        if (m_isPlatformUp && !node.isRegistered) {
+            node.isRegistered = true;
             ++m_revision;
         }
     }
     publishView();
-    at(m_now + milliseconds(100), [this] { registerMembers(); });
+    schedule(m_now + milliseconds(100), [this] { registerMembers(); });
 }
 
 void simulation::requestMove()
 {
-    const auto &name =
-        std::next(m_history.begin(), between(0, static_cast<int>(m_history.size()) - 1).count())
-            ->first;
+    const auto &name = std::next(m_history.begin(),
+                                 randomDuration(0, static_cast<int>(m_history.size()) - 1).count())
+                           ->first;
     const auto &object = m_objects.at(placementKey(name));
     auto record = decodeRecord(object.value);
-    if (m_platformUp && record.ok()) {
-        record->nextOwner = m_nodes[anyNode()].id;
+    if (m_isPlatformUp && record.ok()) {
+        record->nextOwner = m_nodes[randomNode()].id;
         (void)applyPut(object.key, object.version, encodeRecord(*record));
     }
 }
@@ -181,7 +186,7 @@
         member.availabilityZone = node.zone;
         member.service = "berthdesk";
         member.controlAddress = absl::StrCat("10.0.0.", i, ":7000");
-        if (!node.registered) {
+        if (!node.isRegistered) {
             member = m_view->members.at(node.id.name);
         }
         view->members[node.id.name] = member;
--- a/src/persimmonrail/ownership/tests/simulation_test.cpp
+++ b/src/persimmonrail/ownership/tests/simulation_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr uint64_t seedCount = 200;
 
-void checkSeeds(uint64_t first, uint64_t last)
+void runSeeds(uint64_t first, uint64_t last)
 {
     size_t served = 0;
     for (uint64_t seed = first; seed <= last; ++seed) {
@@ -31,61 +31,66 @@
 
 } // namespace
 
-// Guards against two owners at one time (P1), terms that go back, and partitions that stay unserved
-// after a tolerated loss.
+// Guards against two owners of a partition at one time (requirement P1 of docs/design.md), terms
+// that decrease, and partitions that remain unserved after a loss that the protocol tolerates.
 TEST_CASE("no fault gives a partition two owners or leaves it unserved", "[ownership][simulation]")
 {
-    checkSeeds(1, seedCount);
+    runSeeds(1, seedCount);
 }
 
-// The same with more seeds, for changes to the protocol; too slow for each build.
-TEST_CASE("many seeds", "[.][simulation-long]")
+// Runs the same check with 5,000 seeds, for changes to the protocol. The test is too slow to run
+// with each build.
+TEST_CASE("no fault gives a partition two owners or leaves it unserved, with many seeds",
+          "[.][simulation-long]")
 {
-    checkSeeds(1, 5000);
+    runSeeds(1, 5000);
 }
 
-// Guards against a checker that would not notice a broken protocol.
-TEST_CASE("the checker notices a missing mechanism", "[ownership][simulation]")
+// Guards against a checker that does not detect a broken protocol.
+TEST_CASE("the checker detects a missing mechanism", "[ownership][simulation]")
 {
     disabled_mechanisms disabled;
-    SECTION("leases end early at witnesses")
+    SECTION("witnesses end leases too early")
     {
         disabled.waitForExpiry = true;
     }
-    SECTION("no check of the lease after a pause")
+    SECTION("the lease is not checked after a pause")
     {
-        disabled.selfCheck = true;
+        disabled.leaseCheck = true;
     }
-    bool noticed = false;
-    for (uint64_t seed = 1; seed <= seedCount && !noticed; ++seed) {
-        noticed = reportsTwoOwners(simulation(seed, disabled).run());
+    bool detected = false;
+    for (uint64_t seed = 1; seed <= seedCount && !detected; ++seed) {
+        detected = reportsTwoOwners(simulation(seed, disabled).run());
     }
-    CHECK(noticed);
+    CHECK(detected);
 }
 
-// Guards against a standby that wins under an outdated record, whose witnesses the owner has
-// replaced (W2). Random faults reach this too rarely for a test.
+// Guards against a standby that wins the lease under an outdated record whose witnesses the owner
+// has replaced (rule W2 of docs/design.md). Random faults lead to this situation too rarely for a
+// test.
 TEST_CASE("a standby with an outdated record cannot win", "[ownership][simulation]")
 {
     disabled_mechanisms disabled;
     disabled.recordVersions = GENERATE(false, true);
     simulation run(1, disabled);
-    run.replaceWitnessBehindStaleViews();
+    run.simulateWitnessReplacementWithStaleViews();
     const auto result = run.run();
     CAPTURE(disabled.recordVersions, result.violation);
     CHECK(reportsTwoOwners(result) == disabled.recordVersions);
     CHECK(result.violation.empty() != disabled.recordVersions);
 }
 
-// Guards against a planned stop that leaves its partitions to the expiry of the lease (P7, R1). The
-// gap consists of the drain, the write of the record or the release, the claim and the grant.
-TEST_CASE("a graceful shutdown hands over within a fraction of a lease", "[ownership][simulation]")
+// Guards against a graceful shutdown after which the partitions are not served until the leases
+// expire (requirement P7 and rule R1 of docs/design.md). The gap consists of the drain, the write
+// of the record or the release, the claim and the grant.
+TEST_CASE("a graceful shutdown moves its partitions within a fraction of a lease",
+          "[ownership][simulation]")
 {
-    const bool platformUp = GENERATE(true, false);
+    const bool isPlatformUp = GENERATE(true, false);
     simulation run(1, {});
-    run.shutDownGracefully(platformUp);
+    run.simulateGracefulShutdown(isPlatformUp);
     const auto result = run.run();
-    CAPTURE(platformUp, result.violation, result.longestGap.count());
+    CAPTURE(isPlatformUp, result.violation, result.maxGap.count());
     CHECK(result.violation.empty());
-    CHECK(result.longestGap < milliseconds(250));
+    CHECK(result.maxGap < milliseconds(250));
 }
--- a/src/persimmonrail/ownership/tests/write_reserve_test.cpp
+++ b/src/persimmonrail/ownership/tests/write_reserve_test.cpp
@@ -4,9 +4,9 @@
 
 using namespace persimmonrail;
 
-// Guards against changes that can wait using up the calls that a failover needs, and against a
-// reserve above the burst that blocks them for good.
-TEST_CASE("Deferrable calls leave the reserve", "[pacing]")
+// Guards against deferrable calls that use up the tokens reserved for a failover, and against a
+// reserve larger than the bucket that blocks deferrable calls forever.
+TEST_CASE("deferrable calls do not use the reserve", "[pacing]")
 {
     struct row
     {
@@ -16,15 +16,16 @@
         int urgent;
     };
     const auto row = GENERATE(values<struct row>({{8, 4, 4, 4}, {8, 0, 8, 0}, {1, 4, 1, 0}}));
-    write_rate_limiter limiter({.perSecond = 1, .burst = row.burst, .reserve = row.reserve}, 1);
+    write_rate_limiter limiter(
+        {.callsPerSecond = 1, .maxBurst = row.burst, .urgentReserve = row.reserve}, 1);
     const steady_time now{milliseconds(1000)};
     int deferrable = 0;
-    for (; limiter.isReadyForDeferrable(now); ++deferrable) {
-        limiter.take(now);
+    for (; limiter.canCallDeferrable(now); ++deferrable) {
+        limiter.takeToken(now);
     }
     int urgent = 0;
-    for (; limiter.isReady(now); ++urgent) {
-        limiter.take(now);
+    for (; limiter.canCall(now); ++urgent) {
+        limiter.takeToken(now);
     }
     CHECK(deferrable == row.deferrable);
     CHECK(urgent == row.urgent);
--- a/src/persimmonrail/ownership/witness_choice.cpp
+++ b/src/persimmonrail/ownership/witness_choice.cpp
@@ -16,7 +16,8 @@
     return rendezvousWeight(member.id.name, subject);
 }
 
-// Orders by descending weight; the name breaks ties, so that all instances choose alike.
+// Sorts the candidates by descending weight. Equal weights are ordered by name, so that all
+// instances make the same choice.
 void sortByWeight(candidate_list &candidates, std::string_view subject)
 {
     std::sort(candidates.begin(), candidates.end(), [&](const auto *a, const auto *b) {
@@ -25,8 +26,9 @@
     });
 }
 
-// What a further witness would share with the members chosen so far; less is better.
-struct overlap
+// The hosts and availability zones of the witnesses chosen so far. The owner's host is added as
+// well.
+struct used_locations
 {
     std::multiset<std::string_view> hosts;
     std::multiset<std::string_view> zones;
@@ -36,6 +38,8 @@
         hosts.insert(hostOf(member));
         zones.insert(member.availabilityZone);
     }
+    // Returns how often the host and the availability zone of `member` are in use, the host first.
+    // The candidate with the lowest cost is chosen next.
     std::pair<size_t, size_t> cost(const member_record &member) const
     {
         return {hosts.count(hostOf(member)), zones.count(member.availabilityZone)};
@@ -64,7 +68,7 @@
     if (ownerMember == nullptr) {
         return {};
     }
-    overlap chosen;
+    used_locations chosen;
     chosen.hosts.insert(hostOf(*ownerMember));
     for (const auto &id : kept) {
         if (const auto *member = view.findMember(id)) {
@@ -81,11 +85,13 @@
             candidates.push_back(&member);
         }
     }
-    // All partitions of an owner get the same witnesses as far as possible: heartbeats are batched
-    // per witness, and with separate sets for each partition they would exceed 30 KB/s per daemon.
+    // All partitions of an owner get the same witnesses as far as possible. Heartbeats are batched
+    // per witness; with a separate witness set for each partition they would exceed 30 KB/s per
+    // daemon.
     sortByWeight(candidates, owner.name);
     while (kept.size() < witnessCount && !candidates.empty()) {
-        // Of equal costs the first has the highest weight.
+        // Of several candidates with the lowest cost, min_element() returns the first, which has
+        // the highest weight.
         const auto best = std::min_element(
             candidates.begin(), candidates.end(),
             [&](const auto *a, const auto *b) { return chosen.cost(*a) < chosen.cost(*b); });
@@ -109,11 +115,11 @@
     });
     sortByWeight(candidates, partition);
     std::stable_sort(candidates.begin(), candidates.end(), [&](const auto *a, const auto *b) {
-        const auto closeness = [&](const member_record &member) {
+        const auto sharedLocations = [&](const member_record &member) {
             return std::pair(member.availabilityZone == ownerMember->availabilityZone,
                              hostOf(member) == hostOf(*ownerMember));
         };
-        return closeness(*a) < closeness(*b);
+        return sharedLocations(*a) < sharedLocations(*b);
     });
     std::vector<instance_id> standbys;
     for (size_t i = 0; i < std::min(candidates.size(), maxStandbys); ++i) {
--- a/src/persimmonrail/ownership/write_rate_limiter.cpp
+++ b/src/persimmonrail/ownership/write_rate_limiter.cpp
@@ -7,30 +7,31 @@
 write_rate_limiter::write_rate_limiter(limits limits, uint64_t seed)
     : m_limits(limits)
     , m_random(seed)
-    , m_tokens(limits.burst)
+    , m_tokens(limits.maxBurst)
 { }
 
-bool write_rate_limiter::isReady(steady_time now)
+bool write_rate_limiter::canCall(steady_time now)
 {
     refill(now);
     return m_tokens >= 1 && now >= m_blockedUntil;
 }
 
-bool write_rate_limiter::isReadyForDeferrable(steady_time now)
+bool write_rate_limiter::canCallDeferrable(steady_time now)
 {
-    return isReady(now) && m_tokens >= std::min(m_limits.reserve + 1, m_limits.burst);
+    return canCall(now) && m_tokens >= std::min(m_limits.urgentReserve + 1, m_limits.maxBurst);
 }
 
-void write_rate_limiter::take(steady_time now)
+void write_rate_limiter::takeToken(steady_time now)
 {
     refill(now);
     m_tokens -= 1;
 }
 
-void write_rate_limiter::onRefused(steady_time now)
+void write_rate_limiter::onRejected(steady_time now)
 {
     m_backoff = std::clamp(m_backoff * 2, m_limits.initialBackoff, m_limits.maxBackoff);
-    // Half of the delay is random, so that instances do not retry in step after an outage.
+    // Half of the backoff is random, so that instances do not all retry at the same time after an
+    // outage.
     const auto half = m_backoff.count() / 2;
     std::uniform_int_distribution<milliseconds::rep> jitter(0, half);
     m_blockedUntil = now + milliseconds(half + jitter(m_random));
@@ -47,7 +48,7 @@
         return;
     }
     const std::chrono::duration<double> elapsed = now - m_refilledAt;
-    m_tokens = std::min(m_limits.burst, m_tokens + elapsed.count() * m_limits.perSecond);
+    m_tokens = std::min(m_limits.maxBurst, m_tokens + elapsed.count() * m_limits.callsPerSecond);
     m_refilledAt = now;
 }
 
--- a/src/persimmonrail/ownership/write_rate_limiter.h
+++ b/src/persimmonrail/ownership/write_rate_limiter.h
@@ -7,35 +7,40 @@
 
 namespace persimmonrail {
 
-// Limits the rate of calls to the platform: a token bucket, and exponential backoff with jitter
-// while the platform refuses calls. Not thread safe.
+// Limits the rate of calls to the platform with a token bucket, and with exponential backoff and
+// jitter while the platform rejects calls. Not thread safe.
 class write_rate_limiter
 {
 public:
     struct limits
     {
-        double perSecond = 1;
-        double burst = 8;
-        // Tokens that only urgent calls may take, enough for the tenures of one failover. While
-        // they wait, callers are still sent to the lost owner.
-        double reserve = 4;
+        // Tokens added per second.
+        double callsPerSecond = 1;
+        // Capacity of the token bucket.
+        double maxBurst = 8;
+        // Number of tokens that only urgent calls may take. The reserve is enough to record the
+        // tenures of one failover; until a tenure is recorded, callers are still sent to the lost
+        // owner.
+        double urgentReserve = 4;
+        // Backoff after the first rejected call. The backoff doubles with each further rejection.
         milliseconds initialBackoff{250};
         milliseconds maxBackoff{10000};
     };
 
     write_rate_limiter(limits limits, uint64_t seed);
 
-    // Whether a call is admitted at `now`.
-    bool isReady(steady_time now);
-    // Like isReady(), but leaves the reserve to others.
-    bool isReadyForDeferrable(steady_time now);
-    // Whether the platform refused the last call and the backoff has not ended.
+    // Returns whether an urgent call may be sent at `now`.
+    bool canCall(steady_time now);
+    // Returns whether a call that can wait may be sent at `now`. Such calls do not use the tokens
+    // reserved for urgent calls.
+    bool canCallDeferrable(steady_time now);
+    // Returns whether the backoff after a rejected call has not ended at `now`.
     bool isBackingOff(steady_time now) const { return now < m_blockedUntil; }
-    // Takes a token; call only if isReady().
-    void take(steady_time now);
-    // Delays the next call after ResourceExhausted or Unavailable.
-    void onRefused(steady_time now);
-    // Ends the backoff after a call that the platform answered.
+    // Takes one token. Requires canCall().
+    void takeToken(steady_time now);
+    // Starts or doubles the backoff after a call that failed with ResourceExhausted or Unavailable.
+    void onRejected(steady_time now);
+    // Resets the backoff to its initial length after a call to which the platform has responded.
     void onResponse();
 
 private:
@@ -46,6 +51,7 @@
     double m_tokens;
     steady_time m_refilledAt;
     milliseconds m_backoff{0};
+    // End of the backoff.
     steady_time m_blockedUntil;
 };
 
