--- a/src/persimmonrail/gateway/caller_sink.cpp
+++ b/src/persimmonrail/gateway/caller_sink.cpp
@@ -10,10 +10,12 @@
 namespace persimmonrail {
 namespace {
 
-constexpr char ownPrefix[] = "Persimmonrail-";
+constexpr char ownFieldPrefix[] = "Persimmonrail-";
 
-bool sendRun(server_exchange &exchange, Poco::Net::HTTPResponse &head, const body_framing &framing,
-             const std::string &requestId)
+// Sends the head of a response with the outcome "run". Returns false if the requester has
+// disconnected.
+bool beginRunResponse(server_exchange &exchange, Poco::Net::HTTPResponse &head,
+                      const body_framing &framing, const std::string &requestId)
 {
     head.set(outcomeHeader, std::string(toString(request_outcome::Run)));
     head.set(requestIdHeader, requestId);
@@ -26,7 +28,7 @@
 {
     std::vector<std::string> names;
     for (const auto &[name, value] : message) {
-        if (Poco::icompare(name.substr(0, sizeof(ownPrefix) - 1), ownPrefix) == 0) {
+        if (Poco::icompare(name.substr(0, sizeof(ownFieldPrefix) - 1), ownFieldPrefix) == 0) {
             names.push_back(name);
         }
     }
@@ -35,10 +37,10 @@
     }
 }
 
-caller_sink::caller_sink(server_exchange &exchange, std::string requestId, keep_hook keep)
+caller_sink::caller_sink(server_exchange &exchange, std::string requestId, store_hook storeResponse)
     : m_exchange(exchange)
     , m_requestId(std::move(requestId))
-    , m_keep(std::move(keep))
+    , m_storeResponse(std::move(storeResponse))
 { }
 
 bool caller_sink::begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
@@ -47,19 +49,19 @@
     Poco::Net::HTTPResponse response(head);
     removeOwnFields(response);
     removeConnectionFields(response);
-    if (isComplete && m_keep && first.size() <= bodyPieceBytes) {
-        auto kept = std::make_shared<stored_response>();
-        kept->status = response.getStatus();
-        kept->body = first;
+    if (isComplete && m_storeResponse && first.size() <= bodyPieceBytes) {
+        auto stored = std::make_shared<stored_response>();
+        stored->status = response.getStatus();
+        stored->body = first;
         for (const auto &[name, value] : response) {
-            kept->fields.emplace_back(name, value);
+            stored->fields.emplace_back(name, value);
         }
-        m_keep(std::move(kept));
+        m_storeResponse(std::move(stored));
     }
-    const body_framing sent =
+    const body_framing sentFraming =
         isComplete ? body_framing{body_framing::kind::Length, first.size()} : framing;
-    return sendRun(m_exchange, response, sent, m_requestId) && m_exchange.writeResponse(first)
-        && (!isComplete || m_exchange.endResponse());
+    return beginRunResponse(m_exchange, response, sentFraming, m_requestId)
+        && m_exchange.writeResponse(first) && (!isComplete || m_exchange.endResponse());
 }
 
 bool caller_sink::write(std::string_view piece)
@@ -80,8 +82,8 @@
         head.add(name, value);
     }
     const body_framing framing{body_framing::kind::Length, response.body.size()};
-    return sendRun(exchange, head, framing, requestId) && exchange.writeResponse(response.body)
-        && exchange.endResponse();
+    return beginRunResponse(exchange, head, framing, requestId)
+        && exchange.writeResponse(response.body) && exchange.endResponse();
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/caller_sink.h
+++ b/src/persimmonrail/gateway/caller_sink.h
@@ -9,19 +9,21 @@
 
 namespace persimmonrail {
 
-// Fields of an answer that persimmonrail sets itself are removed from a message.
+// Removes all fields whose names begin with "Persimmonrail-" (in any case) from a message.
 void removeOwnFields(Poco::Net::HTTPMessage &message);
 
-// Passes the answer of an upstream to the requester, with the outcome "run". Used by one thread.
+// Passes a response on to the requester, which is a caller or another daemon. Sets the outcome
+// "run" and the request id. Not thread safe.
 class caller_sink : public response_sink
 {
 public:
-    // Receives a whole answer before the requester does, so that a resend which follows at once
-    // finds it.
-    using keep_hook = std::function<void(std::shared_ptr<const stored_response> response)>;
+    // Called with a complete response before the requester receives it, so that a request which is
+    // resent immediately finds the stored response.
+    using store_hook = std::function<void(std::shared_ptr<const stored_response> response)>;
 
-    // `keep` gets whole answers of at most bodyPieceBytes; empty keeps none.
-    caller_sink(server_exchange &exchange, std::string requestId, keep_hook keep = {});
+    // `storeResponse` is called for each complete response with a body of at most bodyPieceBytes.
+    // If it is empty, no response is stored. `exchange` must outlive the sink.
+    caller_sink(server_exchange &exchange, std::string requestId, store_hook storeResponse = {});
 
     bool begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
                std::string_view first, bool isComplete) override;
@@ -31,10 +33,11 @@
 private:
     server_exchange &m_exchange;
     const std::string m_requestId;
-    const keep_hook m_keep;
+    const store_hook m_storeResponse;
 };
 
-// Sends a kept answer.
+// Sends a stored response with the outcome "run" and the request id. Returns false if the requester
+// has disconnected.
 bool sendStored(server_exchange &exchange, const stored_response &response,
                 const std::string &requestId);
 
--- a/src/persimmonrail/gateway/crash_watch.cpp
+++ b/src/persimmonrail/gateway/fingerprinted_body.cpp
@@ -1,9 +1,9 @@
-#include "persimmonrail/gateway/crash_watch.h"
+#include "persimmonrail/gateway/fingerprinted_body.h"
 
 namespace persimmonrail {
 
-crash_watch::crash_watch(crash_quarantine *quarantine, server_exchange &exchange,
-                         std::string service, uint64_t keyHash)
+fingerprinted_body::fingerprinted_body(crash_quarantine *quarantine, server_exchange &exchange,
+                                       std::string service, uint64_t keyHash)
     : m_quarantine(quarantine)
     , m_exchange(exchange)
     , m_service(std::move(service))
@@ -11,61 +11,62 @@
     , m_builder(startFingerprint())
 { }
 
-crash_watch::~crash_watch()
+fingerprinted_body::~fingerprinted_body()
 {
     if (m_run) {
         m_quarantine->end(*m_run, std::nullopt, crash_quarantine::run_end::Regular, {});
     }
 }
 
-fingerprint_builder crash_watch::startFingerprint() const
+fingerprint_builder fingerprinted_body::startFingerprint() const
 {
     const auto &request = m_exchange.request();
     return {m_service, request.getMethod(), request.getURI(), m_keyHash};
 }
 
-std::optional<admission_refusal> crash_watch::refusal(steady_time deadline, steady_time now)
+std::optional<admission_refusal> fingerprinted_body::checkQuarantine(steady_time deadline,
+                                                                     steady_time now)
 {
     if (m_quarantine == nullptr || !m_quarantine->refusesAny(now)) {
         return std::nullopt;
     }
     fingerprint_builder builder = startFingerprint();
     if (framing().type != body_framing::kind::None) {
-        std::string_view first;
-        const io_status status = m_exchange.peek(fingerprintBodyBytes, first, deadline);
+        std::string_view firstBytes;
+        const io_status status = m_exchange.peek(fingerprintBodyBytes, firstBytes, deadline);
         if (status != io_status::Ok) {
             return admission_refusal{status == io_status::Malformed ? "malformed-request-body"
                                                                     : "incomplete-request-body"};
         }
-        builder.addBody(first);
+        builder.addBody(firstBytes);
     }
-    const auto left = m_quarantine->refusedFor(builder.value(), now);
-    return left ? std::optional(admission_refusal{std::string(refusalReason), *left})
-                : std::nullopt;
+    const auto remaining = m_quarantine->refusedFor(builder.value(), now);
+    return remaining ? std::optional(admission_refusal{std::string(quarantinedReason), *remaining})
+                     : std::nullopt;
 }
 
-void crash_watch::begin()
+void fingerprinted_body::recordDispatch()
 {
     if (m_quarantine != nullptr) {
         m_run = m_quarantine->begin();
     }
 }
 
-void crash_watch::end(const dispatch_result &result, steady_time now)
+void fingerprinted_body::recordEnd(const dispatch_result &result, steady_time now)
 {
     if (m_run) {
-        const bool lost = result.outcome == request_outcome::Unknown
+        const bool wasConnectionLost = result.outcome == request_outcome::Unknown
             && (result.reason == toString(exchange_state::NoResponse)
                 || result.reason == toString(exchange_state::Truncated));
         m_quarantine->end(*m_run, fingerprint(),
-                          lost ? crash_quarantine::run_end::ConnectionLost
-                               : crash_quarantine::run_end::Regular,
+                          wasConnectionLost ? crash_quarantine::run_end::ConnectionLost
+                                            : crash_quarantine::run_end::Regular,
                           now);
         m_run.reset();
     }
 }
 
-io_status crash_watch::read(std::string &piece, steady_time until)
+io_status fingerprinted_body::read(std::string &piece, steady_time until)
 {
     const io_status status = m_exchange.read(piece, until);
     if (status == io_status::Ok && m_quarantine != nullptr) {
@@ -78,10 +79,11 @@
     return status;
 }
 
-bool crash_watch::rewind()
+bool fingerprinted_body::rewind()
 {
     if (!m_exchange.rewind()) {
-        // The bytes that were sent still identify the request.
+        // The builder keeps the bytes that were already read, since they still identify the
+        // request.
         return false;
     }
     m_builder = startFingerprint();
@@ -90,11 +92,11 @@
     return true;
 }
 
-std::optional<uint64_t> crash_watch::fingerprint() const
+std::optional<uint64_t> fingerprinted_body::fingerprint() const
 {
-    const bool whole = framing().type == body_framing::kind::None || m_bodyEnded
+    const bool isWholeBody = framing().type == body_framing::kind::None || m_bodyEnded
         || (framing().type == body_framing::kind::Length && m_bodyBytes == framing().length);
-    return whole || m_builder.isFull() ? std::optional(m_builder.value()) : std::nullopt;
+    return isWholeBody || m_builder.isFull() ? std::optional(m_builder.value()) : std::nullopt;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/forwarder.cpp
+++ b/src/persimmonrail/gateway/forwarder.cpp
@@ -9,54 +9,60 @@
 namespace persimmonrail {
 namespace {
 
-// Idle connections kept to each peer. A daemon has about 33 requests in flight in all.
+// Idle connections kept to each peer. A daemon has about 33 requests in flight in total.
 constexpr size_t maxIdleConnections = 16;
 
-// After this time without progress, the peer is asked whether it still has the request. Most
-// requests are answered within 14 ms.
+// After this time without progress, the peer is asked whether it is still serving the request. Most
+// requests complete within 14 ms.
 constexpr milliseconds progressTimeout{500};
-// Together with the progress timeout less than the time in which a standby takes over (1.2 s), so
-// that a request to a frozen daemon reaches the standby within the 2 s target.
+// The progress timeout and the probe timeout add up to less than the time in which a standby takes
+// over (1.2 s), so that a request to a frozen daemon reaches the standby within the objective of
+// 2 s.
 constexpr milliseconds probeTimeout{400};
 
-// What a peer says of a request, asked on a new connection.
+// Result of asking a peer about a request on a new connection.
 enum class probe_result {
+    // The peer is serving the request.
     InFlight,
-    // Its answer, or the request, was lost on the connection used.
+    // The peer is not serving the request: the request or its response was lost on the connection
+    // that carried it.
     Lost,
-    // No answer: the peer is frozen, cut off or overloaded.
-    Silent,
+    // The peer did not respond: it is frozen, unreachable or overloaded.
+    Unresponsive,
 };
 
+// Asks the peer on a new connection whether it is serving the request.
 probe_result probePeer(const std::string &address, const std::string &requestId)
 {
-    http_client fresh(std::make_shared<connection_pool>());
-    const auto response = simpleRequest(fresh, address, "GET", inFlightPath + requestId, "",
+    http_client client(std::make_shared<connection_pool>());
+    const auto response = simpleRequest(client, address, "GET", inFlightPathPrefix + requestId, "",
                                         std::chrono::steady_clock::now() + probeTimeout);
     if (!response.ok()) {
-        return probe_result::Silent;
+        return probe_result::Unresponsive;
     }
     return response->status == 404 ? probe_result::Lost : probe_result::InFlight;
 }
 
-bool hasRun(const Poco::Net::HTTPResponse &head)
+// Returns whether the response states the outcome "run".
+bool reportsRun(const Poco::Net::HTTPResponse &head)
 {
     return head.get(outcomeHeader, "") == toString(request_outcome::Run);
 }
 
-void readDeclined(const Poco::Net::HTTPResponse &head, forward_result &result)
+// Fills `result` from a response that states another outcome than "run", or none.
+void parseDeclinedResponse(const Poco::Net::HTTPResponse &head, forward_result &result)
 {
     const std::string outcome = head.get(outcomeHeader, "");
     result.reason = head.get(reasonHeader, "");
     result.status = head.getStatus();
     result.holder = head.get(holderHeader, "");
-    int seconds = 0;
-    if (absl::SimpleAtoi(head.get("Retry-After", "0"), &seconds)) {
-        result.retryAfter = milliseconds(std::clamp(seconds, 0, 3600) * 1000);
+    int retryAfterSeconds = 0;
+    if (absl::SimpleAtoi(head.get("Retry-After", "0"), &retryAfterSeconds)) {
+        result.retryAfter = milliseconds(std::clamp(retryAfterSeconds, 0, 3600) * 1000);
     }
     if (outcome == toString(request_outcome::NotRun)) {
         result.outcome = request_outcome::NotRun;
-        result.tryNext = isRetryable(result.reason);
+        result.canRetry = isRetryable(result.reason);
         return;
     }
     result.outcome = request_outcome::Unknown;
@@ -69,16 +75,17 @@
 
 bool isRetryable(std::string_view reason)
 {
-    // Reasons that end when the partition has moved or the upstream has been granted it.
-    static constexpr std::string_view passing[] = {"not-owner",
-                                                   "peer-refused-connection",
-                                                   "upstream-refused-connection",
-                                                   "upstream-down",
-                                                   "draining",
-                                                   "lease-ending",
-                                                   "stale-grant",
-                                                   "too-many-connections"};
-    return std::find(std::begin(passing), std::end(passing), reason) != std::end(passing);
+    // These conditions end once the partition has moved or the upstream has received its grant.
+    static constexpr std::string_view retryableReasons[] = {"not-owner",
+                                                            "peer-refused-connection",
+                                                            "upstream-refused-connection",
+                                                            "upstream-down",
+                                                            "draining",
+                                                            "lease-ending",
+                                                            "stale-grant",
+                                                            "too-many-connections"};
+    return std::find(std::begin(retryableReasons), std::end(retryableReasons), reason)
+        != std::end(retryableReasons);
 }
 
 forwarder::forwarder()
@@ -88,8 +95,8 @@
 
 forward_result forwarder::forward(client_request request, response_sink &sink)
 {
-    request.acceptsResponse = hasRun;
-    // A body that is too large to be kept for another attempt is sent only once the peer has
+    request.acceptsResponse = reportsRun;
+    // A body that is too large to be buffered for another attempt is sent only after the peer has
     // accepted the request.
     if (request.body != nullptr) {
         const body_framing framing = request.body->framing();
@@ -99,12 +106,14 @@
     request.progressTimeout = progressTimeout;
     request.probe = [this, address = request.address, repeatable = request.repeatable,
                      id = request.message.get(requestIdHeader, "")] {
-        const probe_result probed = probePeer(address, id);
-        if (probed == probe_result::Silent) {
-            m_silentPeers.mark(address, std::chrono::steady_clock::now());
+        const probe_result probeResult = probePeer(address, id);
+        if (probeResult == probe_result::Unresponsive) {
+            m_unresponsivePeers.mark(address, std::chrono::steady_clock::now());
         }
-        // A request that must not run twice waits for a silent peer until its deadline.
-        return probed == probe_result::Lost || (probed == probe_result::Silent && repeatable);
+        // A request that is not repeatable waits for an unresponsive peer until its deadline, since
+        // it must not run twice.
+        return probeResult == probe_result::Lost
+            || (probeResult == probe_result::Unresponsive && repeatable);
     };
     const exchange_result exchange = m_client.exchange(request, sink);
     forward_result result;
@@ -119,12 +128,12 @@
         result.reason = "answered";
         break;
     case exchange_state::Declined:
-        readDeclined(exchange.head, result);
+        parseDeclinedResponse(exchange.head, result);
         break;
     case exchange_state::NotSent:
         result.outcome = request_outcome::NotRun;
         result.reason = exchange.deadlinePassed ? "deadline-exceeded" : "peer-refused-connection";
-        result.tryNext = !exchange.deadlinePassed;
+        result.canRetry = !exchange.deadlinePassed;
         break;
     case exchange_state::CallerDisconnected:
         result.callerDisconnected = true;
--- a/src/persimmonrail/gateway/forwarder.h
+++ b/src/persimmonrail/gateway/forwarder.h
@@ -9,27 +9,31 @@
 
 namespace persimmonrail {
 
+// Result of forwarding a request to one peer.
 struct forward_result
 {
     request_outcome outcome = request_outcome::NotRun;
     std::string reason;
-    // The peer does not own the partition or could not be reached; another one may be tried if the
-    // request body can be sent again.
-    bool tryNext = false;
-    // Instance named in a "not owner" answer; empty if none was.
+    // Whether the request may be sent to another peer, provided that its body can be sent again:
+    // this peer does not own the partition, cannot serve the request now or could not be reached.
+    bool canRetry = false;
+    // Name of the lease holder according to a "not-owner" response; empty if it names none.
     std::string holder;
-    // Whether the sink received the head of the answer.
+    // Whether the sink received the head of the response.
     bool responseStarted = false;
     bool callerDisconnected = false;
+    // HTTP status of the response; 0 if there is none.
     int status = 0;
     milliseconds retryAfter{0};
 };
 
-// Whether a request that was not run for this reason may run elsewhere, or here a little later.
+// Returns whether a request that was not run for this reason may run on another instance, or on the
+// same instance after a short wait.
 bool isRetryable(std::string_view reason);
 
-// Path under which a peer port tells whether a request is in flight there: 200 or 404.
-inline constexpr char inFlightPath[] = "/v1/requests/";
+// Path prefix on the peer port. For this prefix and a request id, the peer responds with status 200
+// if it is serving that request, and with 404 otherwise.
+inline constexpr char inFlightPathPrefix[] = "/v1/requests/";
 
 // Forwards requests to the peer ports of other daemons over pooled connections. Thread safe.
 class forwarder
@@ -37,20 +41,23 @@
 public:
     forwarder();
 
-    // `request.address` is the peer address, and the message carries the request id;
-    // `request.acceptsResponse` and the probe are set by the forwarder. Answers that did not run on
-    // the peer are not passed to the sink.
+    // Forwards a request and streams the response to the sink. Blocks until the response is
+    // complete, the request has failed or its deadline has passed. `request.address` is the peer
+    // address, and `request.message` carries the request id; the forwarder sets
+    // `request.acceptsResponse`, `expectContinue`, `progressTimeout` and `probe`. Only responses
+    // with the outcome "run" are passed to the sink.
     forward_result forward(client_request request, response_sink &sink);
-    // Whether a request is better sent to another peer for now.
-    bool isSilent(std::string_view address, steady_time now) const
+    // Returns whether the peer recently did not respond to a probe, so that other peers should be
+    // preferred.
+    bool isUnresponsive(std::string_view address, steady_time now) const
     {
-        return m_silentPeers.contains(address, now);
+        return m_unresponsivePeers.contains(address, now);
     }
 
 private:
     std::shared_ptr<connection_pool> m_pool;
     http_client m_client;
-    silent_peers m_silentPeers;
+    silent_peers m_unresponsivePeers;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/gateway_hooks.cpp
+++ b/src/persimmonrail/gateway/gateway_hooks.cpp
@@ -7,8 +7,8 @@
 namespace persimmonrail {
 namespace {
 
-// A refused caller that waits this long finds a free slot in most cases, since requests take some
-// milliseconds.
+// Requests take a few milliseconds, so a caller that retries after this time finds a free slot in
+// most cases.
 constexpr milliseconds overloadRetryAfter{1000};
 
 } // namespace
@@ -21,12 +21,12 @@
 {
 public:
     std::mutex mutex;
-    std::condition_variable freed;
+    std::condition_variable slotFreed;
     std::function<int()> slots;
-    int queueLength = 0;
-    milliseconds maxWait{0};
-    int used = 0;
-    int waiting = 0;
+    int maxQueueLength = 0;
+    milliseconds maxQueueTime{0};
+    int usedSlots = 0;
+    int waitingRequests = 0;
 };
 
 namespace {
@@ -42,8 +42,8 @@
     ~slot_ticket() override
     {
         const std::lock_guard lock(m_state->mutex);
-        --m_state->used;
-        m_state->freed.notify_one();
+        --m_state->usedSlots;
+        m_state->slotFreed.notify_one();
     }
 
 private:
@@ -52,12 +52,13 @@
 
 } // namespace
 
-slot_admission::slot_admission(std::function<int()> slots, int queueLength, milliseconds maxWait)
+slot_admission::slot_admission(std::function<int()> slots, int maxQueueLength,
+                               milliseconds maxQueueTime)
     : m_state(std::make_shared<state>())
 {
     m_state->slots = std::move(slots);
-    m_state->queueLength = queueLength;
-    m_state->maxWait = maxWait;
+    m_state->maxQueueLength = maxQueueLength;
+    m_state->maxQueueTime = maxQueueTime;
 }
 
 slot_admission::~slot_admission() = default;
@@ -66,37 +67,37 @@
 {
     const int slots = m_state->slots();
     std::unique_lock lock(m_state->mutex);
-    if (m_state->used >= slots) {
-        if (m_state->waiting >= m_state->queueLength) {
+    if (m_state->usedSlots >= slots) {
+        if (m_state->waitingRequests >= m_state->maxQueueLength) {
             return admission_refusal{"overload", overloadRetryAfter};
         }
-        ++m_state->waiting;
+        ++m_state->waitingRequests;
         const bool isFree =
-            m_state->freed.wait_until(lock, std::min(deadline, now + m_state->maxWait),
-                                      [&] { return m_state->used < slots; });
-        --m_state->waiting;
+            m_state->slotFreed.wait_until(lock, std::min(deadline, now + m_state->maxQueueTime),
+                                          [&] { return m_state->usedSlots < slots; });
+        --m_state->waitingRequests;
         if (!isFree) {
             return admission_refusal{"overload", overloadRetryAfter};
         }
     }
-    ++m_state->used;
+    ++m_state->usedSlots;
     return std::make_unique<slot_ticket<state>>(m_state);
 }
 
-int slot_admission::inUse() const
+int slot_admission::slotsInUse() const
 {
     const std::lock_guard lock(m_state->mutex);
-    return m_state->used;
+    return m_state->usedSlots;
 }
 
-std::vector<member_record> recordCandidates(const fleet_view &view, std::string_view service,
-                                            uint64_t hash, std::string_view hintedHolder)
+std::vector<member_record> candidatesFromRecord(const fleet_view &view, std::string_view service,
+                                                uint64_t hash, std::string_view hintedHolder)
 {
     std::vector<member_record> result;
     const auto add = [&result](const member_record *member) {
         if (member != nullptr
             && std::none_of(result.begin(), result.end(),
-                            [member](const auto &known) { return known.id == member->id; })) {
+                            [member](const auto &existing) { return existing.id == member->id; })) {
             result.push_back(*member);
         }
     };
--- a/src/persimmonrail/gateway/request_router.cpp
+++ b/src/persimmonrail/gateway/request_router.cpp
@@ -12,25 +12,26 @@
 namespace persimmonrail {
 namespace {
 
-// Counts a request from construction to destruction.
-class counted_request
+// Increments a counter of requests in flight for the lifetime of the object.
+class in_flight_counter
 {
 public:
-    explicit counted_request(std::atomic<int> &count)
+    explicit in_flight_counter(std::atomic<int> &count)
         : m_count(count)
     {
         ++m_count;
     }
-    counted_request(const counted_request &) = delete;
-    counted_request &operator=(const counted_request &) = delete;
-    ~counted_request() { --m_count; }
+    in_flight_counter(const in_flight_counter &) = delete;
+    in_flight_counter &operator=(const in_flight_counter &) = delete;
+    ~in_flight_counter() { --m_count; }
 
 private:
     std::atomic<int> &m_count;
 };
 
-std::optional<member_record> firstUntried(const fleet_view &view, std::string_view service,
-                                          const std::vector<instance_id> &tried, steady_time)
+// Default of gateway_hooks::pickInstance.
+std::optional<member_record> firstUntriedMember(const fleet_view &view, std::string_view service,
+                                                const std::vector<instance_id> &tried, steady_time)
 {
     for (const member_record *member : view.membersOf(service)) {
         if (std::find(tried.begin(), tried.end(), member->id) == tried.end()) {
@@ -54,7 +55,7 @@
               const auto status = upstreamClient.status(std::chrono::steady_clock::now());
               return status.announcement ? status.announcement->slots : 0;
           },
-          m_options.queueLength, m_options.maxQueueTime))
+          m_options.maxQueueLength, m_options.maxQueueTime))
 {
     if (!m_hooks.localLease) {
         m_hooks.localLease = [](std::string_view, uint64_t, steady_time) { return nullptr; };
@@ -63,10 +64,10 @@
         m_hooks.holderHint = [](std::string_view, uint64_t) { return std::string(); };
     }
     if (!m_hooks.candidates) {
-        m_hooks.candidates = recordCandidates;
+        m_hooks.candidates = candidatesFromRecord;
     }
     if (!m_hooks.pickInstance) {
-        m_hooks.pickInstance = firstUntried;
+        m_hooks.pickInstance = firstUntriedMember;
     }
     if (!m_hooks.retryBudget) {
         m_hooks.retryBudget = [](bool isRetry, steady_time) { return !isRetry; };
@@ -93,31 +94,32 @@
 
 void request_router::serveCaller(server_exchange &exchange)
 {
-    const counted_request counted(m_inFlight);
+    const in_flight_counter counter(m_inFlight);
     routed_request(*this, exchange).serveCaller();
 }
 
 void request_router::servePeer(server_exchange &exchange)
 {
-    const counted_request counted(m_inFlight);
+    const in_flight_counter counter(m_inFlight);
     const std::string id = exchange.request().get(requestIdHeader, "");
     std::multiset<std::string, std::less<>>::iterator entry;
     {
         const std::lock_guard lock(m_mutex);
-        entry = m_peerRequests.insert(id);
+        entry = m_forwardedRequestIds.insert(id);
     }
     routed_request(*this, exchange).servePeer();
     const std::lock_guard lock(m_mutex);
-    m_peerRequests.erase(entry);
+    m_forwardedRequestIds.erase(entry);
 }
 
 bool request_router::isInFlight(const std::string &requestId) const
 {
     const std::lock_guard lock(m_mutex);
-    return m_peerRequests.contains(requestId);
+    return m_forwardedRequestIds.contains(requestId);
 }
 
-void request_router::serveError(server_exchange &exchange, int status, const std::string &reason)
+void request_router::respondToInvalidRequest(server_exchange &exchange, int status,
+                                             const std::string &reason)
 {
     attempt_result result;
     result.status = status;
--- a/src/persimmonrail/gateway/request_router.h
+++ b/src/persimmonrail/gateway/request_router.h
@@ -15,44 +15,48 @@
 
 namespace persimmonrail {
 
+// Settings of a request_router.
 struct request_router_options
 {
     // Name of this daemon's instance.
     std::string instance;
-    // Pause between rounds over the candidates of a key.
-    milliseconds roundPause{50};
-    // Instances that are tried for a request that any instance may run.
+    // Delay between two rounds over the candidates of a key.
+    milliseconds roundDelay{50};
+    // Maximum number of instances tried for a request that any instance may run.
     int maxInstances = 3;
-    // Of the default admission: requests that wait for a slot, and how long.
-    int queueLength = 20;
+    // Limits of the default admission control: the number of requests that wait for a slot at a
+    // time, and the time that each of them waits.
+    int maxQueueLength = 20;
     milliseconds maxQueueTime{100};
 };
 
 class routed_request;
 
-// Takes requests from callers and from other daemons to the upstream that may run them. Thread
-// safe; each request runs on the thread of its connection.
+// Routes requests of callers and of other daemons to the upstream that may run them. Thread safe;
+// each request is served on the thread of its connection.
 class request_router
 {
 public:
-    // `upstreamClient`, `log` and `metrics` must outlive the object. Hooks without a value get
-    // their default, except for `view`, which is required.
+    // `upstreamClient`, `log` and `metrics` must outlive the object. Hooks that are empty get their
+    // defaults, except for `view`, which is required.
     request_router(request_router_options options, gateway_hooks hooks,
                    upstream_client &upstreamClient, decision_log &log, metrics &metrics);
     ~request_router();
 
-    // Request of a caller: ANY /<service>/<path>.
+    // Serves a request of a caller: any method, URI /<service>/<path>. Blocks until the response is
+    // sent.
     void serveCaller(server_exchange &exchange);
-    // Request forwarded by another daemon; never forwarded again.
+    // Serves a request forwarded by another daemon, which is never forwarded again. Blocks until
+    // the response is sent.
     void servePeer(server_exchange &exchange);
-    // Whether a request with this id runs here on behalf of another daemon.
+    // Returns whether a request with this id, forwarded by another daemon, is being served.
     bool isInFlight(const std::string &requestId) const;
-    // Requests of callers and of other daemons that are being served.
+    // Returns the number of requests of callers and of other daemons that are being served.
     int inFlight() const { return m_inFlight; }
-    // Answers a request that is not valid HTTP.
-    void serveError(server_exchange &exchange, int status, const std::string &reason);
+    // Responds to a request that is not valid HTTP.
+    void respondToInvalidRequest(server_exchange &exchange, int status, const std::string &reason);
 
-    // Describes as JSON where a request for the key would go now.
+    // Returns a JSON description of where a request with this key would be routed now.
     std::string explain(std::string_view service, std::string_view key, steady_time now) const;
 
 private:
@@ -67,7 +71,9 @@
     std::unique_ptr<slot_admission> m_defaultAdmission;
     std::atomic<int> m_inFlight{0};
     mutable std::mutex m_mutex;
-    std::multiset<std::string, std::less<>> m_peerRequests;
+    // Ids of the requests forwarded by other daemons that are being served. A retry may have the
+    // same id as an attempt that is still being served.
+    std::multiset<std::string, std::less<>> m_forwardedRequestIds;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/request_target.cpp
+++ b/src/persimmonrail/gateway/request_target.cpp
@@ -16,6 +16,7 @@
 namespace persimmonrail {
 namespace {
 
+// Decodes percent-encoding. Errors: InvalidArgument if it is invalid.
 absl::StatusOr<std::string> decode(std::string_view text)
 {
     try {
@@ -23,24 +24,25 @@
         Poco::URI::decode(std::string(text), decoded);
         return decoded;
     } catch (const Poco::Exception &) {
-        return absl::InvalidArgumentError("invalid percent-encoding");
+        return absl::InvalidArgumentError("the URI has an invalid percent-encoding");
     }
 }
 
-// Collects the values under which the rule's name occurs in the query.
-absl::StatusOr<std::vector<std::string>> queryValues(const std::string &name,
-                                                     const std::string &query)
+// Returns the percent-decoded values of all query parameters with this name. Errors:
+// InvalidArgument if a percent-encoding is invalid.
+absl::StatusOr<std::vector<std::string>> queryParameterValues(const std::string &name,
+                                                              const std::string &query)
 {
     std::vector<std::string> values;
     for (const absl::string_view parameter : absl::StrSplit(query, '&', absl::SkipEmpty())) {
-        const std::pair<std::string, std::string> parts =
+        const std::pair<std::string, std::string> nameAndValue =
             absl::StrSplit(parameter, absl::MaxSplits('=', 1));
-        const auto parameterName = decode(parts.first);
+        const auto parameterName = decode(nameAndValue.first);
         if (!parameterName.ok()) {
             return parameterName.status();
         }
         if (*parameterName == name) {
-            const auto value = decode(parts.second);
+            const auto value = decode(nameAndValue.second);
             if (!value.ok()) {
                 return value.status();
             }
@@ -50,6 +52,7 @@
     return values;
 }
 
+// Returns the values of all header fields with this name, whose case is ignored.
 std::vector<std::string> headerValues(const std::string &name,
                                       const Poco::Net::HTTPRequest &request)
 {
@@ -66,11 +69,11 @@
 
 absl::StatusOr<request_target> parseTarget(const std::string &uri)
 {
-    const absl::string_view whole = uri;
-    const size_t pathEnd = whole.find('?');
-    const absl::string_view path = whole.substr(0, pathEnd);
-    if (path.empty() || path[0] != '/' || whole.find('#') != absl::string_view::npos) {
-        return absl::InvalidArgumentError("invalid path");
+    const absl::string_view text = uri;
+    const size_t pathEnd = text.find('?');
+    const absl::string_view path = text.substr(0, pathEnd);
+    if (path.empty() || path[0] != '/' || text.find('#') != absl::string_view::npos) {
+        return absl::InvalidArgumentError("the URI must begin with '/' and have no fragment");
     }
     for (const absl::string_view segment : absl::StrSplit(path.substr(1), '/')) {
         const auto decoded = decode({segment.data(), segment.size()});
@@ -78,7 +81,7 @@
             return decoded.status();
         }
         if (*decoded == "." || *decoded == "..") {
-            return absl::InvalidArgumentError("path with dot segments");
+            return absl::InvalidArgumentError("the path has a dot segment");
         }
     }
     const size_t serviceEnd = path.find('/', 1);
@@ -87,7 +90,7 @@
     target.path =
         serviceEnd == absl::string_view::npos ? "/" : std::string(path.substr(serviceEnd));
     if (pathEnd != absl::string_view::npos) {
-        target.query = std::string(whole.substr(pathEnd + 1));
+        target.query = std::string(text.substr(pathEnd + 1));
     }
     return target;
 }
@@ -109,7 +112,7 @@
         break;
     }
     case key_source::QueryParameter: {
-        auto found = queryValues(rule.name, target.query);
+        auto found = queryParameterValues(rule.name, target.query);
         if (!found.ok()) {
             return found.status();
         }
@@ -121,13 +124,13 @@
         break;
     }
     if (values.empty()) {
-        return absl::NotFoundError("no key");
+        return absl::NotFoundError("the request has no key");
     }
     if (values.size() > 1) {
-        return absl::InvalidArgumentError("more than one key");
+        return absl::InvalidArgumentError("the request has more than one key");
     }
     if (values.front().empty()) {
-        return absl::InvalidArgumentError("empty key");
+        return absl::InvalidArgumentError("the key of the request is empty");
     }
     return values.front();
 }
--- a/src/persimmonrail/gateway/request_target.h
+++ b/src/persimmonrail/gateway/request_target.h
@@ -13,28 +13,31 @@
 
 namespace persimmonrail {
 
-// The parts of a request URI "/<service>/<path>?<query>".
+// Components of a request URI "/<service>/<path>?<query>".
 struct request_target
 {
     std::string service;
-    // "/<path>", as received.
+    // "/<path>" without percent-decoding; "/" if the URI has no path after the service.
     std::string path;
+    // Without the "?"; empty if the URI has no query.
     std::string query;
 };
 
-// Errors: InvalidArgument if the URI has no such form, or has dot segments, which an upstream could
-// resolve to another key than the one that was routed.
+// Splits a request URI into its components. Errors: InvalidArgument if the URI does not have the
+// form above or has dot segments, which the upstream could resolve to a key other than the one that
+// the request was routed by.
 absl::StatusOr<request_target> parseTarget(const std::string &uri);
 
-// Takes the key from a request, percent-decoded. Errors: NotFound if the request has none,
-// InvalidArgument if it is empty, badly encoded or given more than once.
+// Returns the key of a request. A key in the path or query is percent-decoded. Errors: NotFound if
+// the request has no key, InvalidArgument if the key is empty, has an invalid percent-encoding or
+// occurs more than once.
 absl::StatusOr<std::string> extractKey(const key_rule &rule, const request_target &target,
                                        const Poco::Net::HTTPRequest &request);
 
-// Whether the text is a UUID of version 7 in its usual form (RFC 9562).
+// Returns whether the text is a UUID of version 7 in the text format of RFC 9562.
 bool isUuidV7(std::string_view text);
 
-// Draws a request id of 32 hexadecimal digits.
+// Returns a random request id of 32 hexadecimal digits. Thread safe.
 std::string generateRequestId();
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/routed_request.cpp
+++ b/src/persimmonrail/gateway/routed_request.cpp
@@ -1,7 +1,7 @@
 #include "persimmonrail/gateway/routed_request.h"
 
 #include "persimmonrail/base/header_names.h"
-#include "persimmonrail/gateway/crash_watch.h"
+#include "persimmonrail/gateway/fingerprinted_body.h"
 
 #include <Poco/JSON/Object.h>
 
@@ -14,10 +14,11 @@
 namespace persimmonrail {
 namespace {
 
-// Longest remaining time that a request may state; larger values are malformed.
+// Maximum remaining time that a request may state in its deadline header; larger values are
+// rejected.
 constexpr int64_t maxDeadlineMs = 24LL * 3600 * 1000;
 
-// Longer names are cut, so that admission control keeps bounded state.
+// Longer names are cut to this length, which bounds the state that admission control keeps.
 constexpr size_t maxSubsidiaryLength = 64;
 
 steady_time currentTime()
@@ -25,16 +26,18 @@
     return std::chrono::steady_clock::now();
 }
 
-attempt_result notRun(std::string reason, int status = 0)
+// Returns the result of an attempt that did not run the request.
+attempt_result notRunResult(std::string reason, int status = 0)
 {
     attempt_result result;
     result.reason = std::move(reason);
     result.status = status;
-    result.tryNext = isRetryable(result.reason);
+    result.canRetry = isRetryable(result.reason);
     return result;
 }
 
-int statusOf(const attempt_result &result)
+// Returns the HTTP status of an error response with this result.
+int httpStatusOf(const attempt_result &result)
 {
     if (result.status != 0) {
         return result.status;
@@ -50,116 +53,118 @@
 
 } // namespace
 
-routed_request::routed_request(request_router &path, server_exchange &exchange)
-    : m_router(path)
+routed_request::routed_request(request_router &router, server_exchange &exchange)
+    : m_router(router)
     , m_exchange(exchange)
-    , m_start(currentTime())
+    , m_startedAt(currentTime())
     , m_message(exchange.request())
 { }
 
 void routed_request::serveCaller()
 {
     m_requestId = generateRequestId();
-    std::optional<attempt_result> ended = findOperation();
-    if (!ended) {
-        ended = findKey();
+    std::optional<attempt_result> result = resolveOperation();
+    if (!result) {
+        result = resolveKey();
     }
-    if (!ended) {
-        m_router.m_hooks.retryBudget(false, m_start);
+    if (!result) {
+        m_router.m_hooks.retryBudget(false, m_startedAt);
         m_message.set(requestIdHeader, m_requestId);
         m_message.set(rankHeader, m_rank);
         if (!m_subsidiary.empty()) {
             m_message.set(subsidiaryHeader, m_subsidiary);
         }
-        if (m_hash) {
-            m_message.set(keyHashHeader, hashToString(*m_hash));
+        if (m_keyHash) {
+            m_message.set(keyHashHeader, hashToString(*m_keyHash));
         }
-        ended = m_hash ? routeByHash() : routeToAny();
+        result = m_keyHash ? routeByHash() : routeToAnyInstance();
     } else {
-        logAttempt("", nullptr, *ended);
+        logAttempt("", nullptr, *result);
     }
-    finish(*std::move(ended));
+    recordAndRespond(*std::move(result));
 }
 
-std::optional<attempt_result> routed_request::findOperation()
+std::optional<attempt_result> routed_request::resolveOperation()
 {
-    const std::string statedDeadline = m_message.get(deadlineHeader, "");
-    takeSubsidiary();
+    const std::string deadlineField = m_message.get(deadlineHeader, "");
+    readSubsidiary();
     removeOwnFields(m_message);
     auto target = parseTarget(m_message.getURI());
     if (!target.ok()) {
-        return notRun("invalid-path", 400);
+        return notRunResult("invalid-path", 400);
     }
     m_target = *std::move(target);
     m_view = m_router.m_hooks.view();
     if (!m_view) {
-        return notRun("not-ready");
+        return notRunResult("not-ready");
     }
     const auto document = m_view->documents.find(m_target.service);
     if (document == m_view->documents.end()) {
-        return notRun("unknown-service", 404);
+        return notRunResult("unknown-service", 404);
     }
     m_document = document->second;
     const operation_rule *const operation =
         m_document->findOperation(m_message.getMethod(), m_target.path);
     if (operation == nullptr) {
-        return notRun("unknown-operation", 404);
+        return notRunResult("unknown-operation", 404);
     }
     m_rank = operation->rank;
     m_rankIndex = m_document->rankIndex(m_rank);
     m_repeatable = operation->repeatable;
     milliseconds timeout = operation->timeout;
-    if (!statedDeadline.empty()) {
-        int64_t stated = 0;
-        if (!absl::SimpleAtoi(statedDeadline, &stated) || stated < 0 || stated > maxDeadlineMs) {
-            return notRun("invalid-deadline", 400);
+    if (!deadlineField.empty()) {
+        int64_t remainingMs = 0;
+        if (!absl::SimpleAtoi(deadlineField, &remainingMs) || remainingMs < 0
+            || remainingMs > maxDeadlineMs) {
+            return notRunResult("invalid-deadline", 400);
         }
-        timeout = std::min(timeout, milliseconds(stated));
+        timeout = std::min(timeout, milliseconds(remainingMs));
     }
-    m_deadline = m_start + timeout;
+    m_deadline = m_startedAt + timeout;
     return std::nullopt;
 }
 
-void routed_request::takeSubsidiary()
+void routed_request::readSubsidiary()
 {
     m_subsidiary = m_message.get(subsidiaryHeader, "").substr(0, maxSubsidiaryLength);
 }
 
-std::optional<attempt_result> routed_request::findKey()
+std::optional<attempt_result> routed_request::resolveKey()
 {
     if (!m_repeatable) {
         m_idempotencyKey = m_message.get(idempotencyKeyHeader, "");
         if (m_idempotencyKey.empty()) {
-            return notRun("missing-idempotency-key", 400);
+            return notRunResult("missing-idempotency-key", 400);
         }
         if (!isUuidV7(m_idempotencyKey)) {
-            return notRun("invalid-idempotency-key", 400);
+            return notRunResult("invalid-idempotency-key", 400);
         }
     }
     if (m_document->key) {
         const auto key = extractKey(*m_document->key, m_target, m_message);
         if (!key.ok()) {
-            return notRun(absl::IsNotFound(key.status()) ? "missing-key" : "invalid-key", 400);
+            return notRunResult(absl::IsNotFound(key.status()) ? "missing-key" : "invalid-key",
+                                400);
         }
-        m_hash = keyHash(*key);
+        m_keyHash = keyHash(*key);
     } else if (!m_repeatable) {
-        m_hash = keyHash(m_idempotencyKey);
+        m_keyHash = keyHash(m_idempotencyKey);
     }
     return std::nullopt;
 }
 
-bool routed_request::prepareBody()
+bool routed_request::rewindBody()
 {
     return m_exchange.framing().type == body_framing::kind::None || m_exchange.rewind();
 }
 
-bool routed_request::mayContinue(const attempt_result &result)
+bool routed_request::prepareRetry(const attempt_result &result)
 {
     if (result.outcome == request_outcome::Unknown) {
         m_mayHaveRun = true;
         m_unknownReason = result.reason;
     }
-    if (result.responseStarted || result.callerDisconnected || !prepareBody()) {
+    if (result.responseStarted || result.callerDisconnected || !rewindBody()) {
         return false;
     }
     const steady_time now = currentTime();
@@ -167,7 +172,7 @@
         return false;
     }
     if (result.outcome == request_outcome::NotRun) {
-        return result.tryNext;
+        return result.canRetry;
     }
     return result.outcome == request_outcome::Unknown && m_repeatable
         && result.reason != "deadline-exceeded" && result.reason != "malformed-request-body"
@@ -178,17 +183,17 @@
 {
     for (;;) {
         const steady_time now = currentTime();
-        if (const auto ticket = m_router.m_hooks.localLease(m_target.service, *m_hash, now)) {
-            attempt_result result = runLocal(ticket.get());
-            if (!mayContinue(result)) {
+        if (const auto ticket = m_router.m_hooks.localLease(m_target.service, *m_keyHash, now)) {
+            attempt_result result = runLocally(ticket.get());
+            if (!prepareRetry(result)) {
                 return result;
             }
         }
         attempt_result result = tryCandidates();
-        if (!mayContinue(result)) {
+        if (!prepareRetry(result)) {
             return result;
         }
-        const steady_time next = currentTime() + m_router.m_options.roundPause;
+        const steady_time next = currentTime() + m_router.m_options.roundDelay;
         if (next >= m_deadline) {
             return result;
         }
@@ -202,19 +207,18 @@
     }
 }
 
-// One round over the candidates. A holder named by one of them is tried next.
 attempt_result routed_request::tryCandidates()
 {
-    attempt_result result = notRun("no-owner");
-    result.tryNext = true;
+    attempt_result result = notRunResult("no-owner");
+    result.canRetry = true;
     std::vector<instance_id> tried;
     for (;;) {
         const auto candidates =
-            m_router.m_hooks.candidates(*m_view, m_target.service, *m_hash, m_holderHint);
+            m_router.m_hooks.candidates(*m_view, m_target.service, *m_keyHash, m_holderHint);
         const auto isNew = [&](const member_record &member) {
             return member.id.name != m_router.m_options.instance
                 && std::find(tried.begin(), tried.end(), member.id) == tried.end()
-                && !m_router.m_forwarder.isSilent(member.peerAddress, currentTime());
+                && !m_router.m_forwarder.isUnresponsive(member.peerAddress, currentTime());
         };
         auto next = std::find_if(candidates.begin(), candidates.end(), [&](const auto &member) {
             return member.id.name == m_holderHint && isNew(member);
@@ -228,36 +232,36 @@
         tried.push_back(next->id);
         result = forwardTo(*next);
         m_holderHint = result.holder;
-        if (!mayContinue(result)) {
+        if (!prepareRetry(result)) {
             return result;
         }
     }
 }
 
-attempt_result routed_request::routeToAny()
+attempt_result routed_request::routeToAnyInstance()
 {
-    attempt_result result = notRun("no-instance");
+    attempt_result result = notRunResult("no-instance");
     std::vector<instance_id> tried;
     for (int attempt = 0; attempt < m_router.m_options.maxInstances; ++attempt) {
-        const steady_time started = currentTime();
+        const steady_time startedAt = currentTime();
         const auto member =
-            m_router.m_hooks.pickInstance(*m_view, m_target.service, tried, started);
+            m_router.m_hooks.pickInstance(*m_view, m_target.service, tried, startedAt);
         if (!member) {
             return result;
         }
         tried.push_back(member->id);
-        result =
-            member->id.name == m_router.m_options.instance ? runLocal(nullptr) : forwardTo(*member);
-        const steady_time ended = currentTime();
+        result = member->id.name == m_router.m_options.instance ? runLocally(nullptr)
+                                                                : forwardTo(*member);
+        const steady_time endedAt = currentTime();
         if (m_router.m_hooks.attemptEnded) {
             m_router.m_hooks.attemptEnded(m_target.service, *member, result.outcome, result.reason,
-                                          ended - started, ended);
+                                          endedAt - startedAt, endedAt);
         }
-        // Any instance may run the request, so another one may have room for it. One that crashed
-        // an upstream must not reach the next.
-        result.tryNext = result.outcome == request_outcome::NotRun
-            && result.reason != crash_watch::refusalReason;
-        if (!mayContinue(result)) {
+        // Any instance may run the request, so another one may have a free slot. A quarantined
+        // request must not crash the next upstream.
+        result.canRetry = result.outcome == request_outcome::NotRun
+            && result.reason != fingerprinted_body::quarantinedReason;
+        if (!prepareRetry(result)) {
             return result;
         }
     }
@@ -270,8 +274,8 @@
     client_request request;
     request.address = member.peerAddress;
     request.message = m_message;
-    const auto left = std::chrono::duration_cast<milliseconds>(m_deadline - now);
-    request.message.set(deadlineHeader, absl::StrCat(std::max<int64_t>(left.count(), 0)));
+    const auto remaining = std::chrono::duration_cast<milliseconds>(m_deadline - now);
+    request.message.set(deadlineHeader, absl::StrCat(std::max<int64_t>(remaining.count(), 0)));
     if (m_exchange.framing().type != body_framing::kind::None) {
         request.body = &m_exchange;
     }
@@ -284,7 +288,7 @@
     result.outcome = forwarded.outcome;
     result.reason = forwarded.reason;
     result.retryAfter = forwarded.retryAfter;
-    result.tryNext = forwarded.tryNext;
+    result.canRetry = forwarded.canRetry;
     result.responseStarted = forwarded.responseStarted;
     result.callerDisconnected = forwarded.callerDisconnected;
     result.holder = forwarded.holder;
@@ -295,19 +299,19 @@
     return result;
 }
 
-attempt_result routed_request::runLocal(const lease_ticket *ticket)
+attempt_result routed_request::runLocally(const lease_ticket *ticket)
 {
     const steady_time now = currentTime();
     const upstream_status status = m_router.m_upstreamClient.status(now);
     attempt_result result;
     if (!status.announcement || status.state == upstream_state::Down) {
-        result = notRun("upstream-down");
+        result = notRunResult("upstream-down");
     } else if (status.announcement->service != m_target.service) {
-        result = notRun("wrong-service");
+        result = notRunResult("wrong-service");
     } else if (m_repeatable) {
         result = admitAndDispatch(ticket, {});
     } else if (ticket == nullptr) {
-        result = notRun("not-owner");
+        result = notRunResult("not-owner");
     } else {
         result = runAtMostOnce(*ticket, now);
     }
@@ -318,61 +322,61 @@
 attempt_result routed_request::runAtMostOnce(const lease_ticket &ticket, steady_time now)
 {
     const auto &hooks = m_router.m_hooks;
-    const at_most_once_verdict decision =
+    const at_most_once_verdict verdict =
         hooks.atMostOnceBegin(m_target.service, m_idempotencyKey, ticket, now);
     attempt_result result;
-    if (decision.what == at_most_once_verdict::action::Refuse) {
-        result.outcome = decision.outcome;
-        result.reason = decision.reason;
+    if (verdict.what == at_most_once_verdict::action::Refuse) {
+        result.outcome = verdict.outcome;
+        result.reason = verdict.reason;
         return result;
     }
-    if (decision.what == at_most_once_verdict::action::Replay) {
+    if (verdict.what == at_most_once_verdict::action::Replay) {
         result.outcome = request_outcome::Run;
         result.reason = "answered-from-record";
         result.responseStarted = true;
-        result.callerDisconnected = !sendStored(m_exchange, *decision.response, m_requestId);
+        result.callerDisconnected = !sendStored(m_exchange, *verdict.response, m_requestId);
         return result;
     }
-    bool ended = false;
+    bool endReported = false;
     result = admitAndDispatch(&ticket, [&](std::shared_ptr<const stored_response> response) {
-        ended = true;
+        endReported = true;
         hooks.atMostOnceEnd(m_target.service, m_idempotencyKey, request_outcome::Run,
                             std::move(response));
     });
-    if (!ended) {
+    if (!endReported) {
         hooks.atMostOnceEnd(m_target.service, m_idempotencyKey, result.outcome, nullptr);
     }
     return result;
 }
 
 attempt_result routed_request::admitAndDispatch(const lease_ticket *ticket,
-                                                const caller_sink::keep_hook &keep)
+                                                const caller_sink::store_hook &storeResponse)
 {
     if (m_router.m_hooks.refusesNewWork(currentTime())) {
-        return notRun("draining");
+        return notRunResult("draining");
     }
-    crash_watch watch(m_router.m_hooks.quarantine, m_exchange, m_target.service,
-                      m_hash.value_or(0));
-    if (const auto refusal = watch.refusal(m_deadline, currentTime())) {
-        attempt_result result = notRun(refusal->reason);
-        result.retryAfter = refusal->retryAfter;
+    fingerprinted_body body(m_router.m_hooks.quarantine, m_exchange, m_target.service,
+                            m_keyHash.value_or(0));
+    if (const auto rejection = body.checkQuarantine(m_deadline, currentTime())) {
+        attempt_result result = notRunResult(rejection->reason);
+        result.retryAfter = rejection->retryAfter;
         return result;
     }
     const admission_result admitted = m_router.m_hooks.admit(
         {m_target.service, m_rankIndex, m_subsidiary, m_deadline}, currentTime());
-    if (const auto *const refusal = std::get_if<admission_refusal>(&admitted)) {
-        attempt_result result = notRun(refusal->reason, 429);
-        result.retryAfter = refusal->retryAfter;
+    if (const auto *const rejection = std::get_if<admission_refusal>(&admitted)) {
+        attempt_result result = notRunResult(rejection->reason, 429);
+        result.retryAfter = rejection->retryAfter;
         return result;
     }
-    // The wait for a slot may have passed the time from which no new work is taken.
+    // The upstream or the daemon may have begun to stop during the wait for a slot.
     if (m_router.m_hooks.refusesNewWork(currentTime())) {
-        return notRun("draining");
+        return notRunResult("draining");
     }
     dispatch_request request;
     request.message = m_message;
     if (m_exchange.framing().type != body_framing::kind::None) {
-        request.body = &watch;
+        request.body = &body;
     }
     request.requestId = m_requestId;
     if (ticket != nullptr) {
@@ -380,17 +384,17 @@
         request.term = ticket->term();
         request.leaseEnd = [ticket] { return ticket->leaseEnd(); };
     }
-    request.keyHash = m_hash;
+    request.keyHash = m_keyHash;
     request.repeatable = m_repeatable;
     request.deadline = m_deadline;
     request.caller = &m_exchange.connection();
-    caller_sink sink(m_exchange, m_requestId, keep);
-    watch.begin();
+    caller_sink sink(m_exchange, m_requestId, storeResponse);
+    body.recordDispatch();
     const steady_time dispatchedAt = currentTime();
     const dispatch_result dispatched =
         m_router.m_upstreamClient.dispatch(request, sink, dispatchedAt);
     const steady_time endedAt = currentTime();
-    watch.end(dispatched, endedAt);
+    body.recordEnd(dispatched, endedAt);
     std::get<std::unique_ptr<admission_ticket>>(admitted)->finish(
         dispatched.outcome, dispatched.reason, endedAt - dispatchedAt, endedAt);
     attempt_result result;
@@ -399,39 +403,40 @@
     result.retryAfter = dispatched.retryAfter;
     result.responseStarted = dispatched.responseStarted;
     result.callerDisconnected = dispatched.callerDisconnected;
-    result.tryNext = isRetryable(dispatched.reason);
+    result.canRetry = isRetryable(dispatched.reason);
     return result;
 }
 
 void routed_request::logAttempt(std::string_view instance, const lease_ticket *ticket,
                                 const attempt_result &result)
 {
-    decision line;
-    line.kind = "route";
-    line.requestId = m_requestId;
-    line.service = m_target.service;
-    line.keyHash = m_hash.value_or(0);
-    line.hasKeyHash = m_hash.has_value();
+    decision entry;
+    entry.kind = "route";
+    entry.requestId = m_requestId;
+    entry.service = m_target.service;
+    entry.keyHash = m_keyHash.value_or(0);
+    entry.hasKeyHash = m_keyHash.has_value();
     if (ticket != nullptr) {
-        line.partition = ticket->partition();
-        line.term = ticket->term();
+        entry.partition = ticket->partition();
+        entry.term = ticket->term();
     }
-    line.instance = instance;
-    line.outcome = toString(result.outcome);
-    line.reason = result.reason;
-    m_router.m_log.write(line);
+    entry.instance = instance;
+    entry.outcome = toString(result.outcome);
+    entry.reason = result.reason;
+    m_router.m_log.write(entry);
 }
 
-void routed_request::finish(attempt_result result)
+void routed_request::recordAndRespond(attempt_result result)
 {
     if (m_mayHaveRun && result.outcome == request_outcome::NotRun) {
         result.outcome = request_outcome::Unknown;
         result.reason = m_unknownReason;
         result.status = 0;
     }
-    // Names of unknown services come from callers and would make the number of series unbounded.
+    // The names of unknown services are chosen by callers. As label values, these names would make
+    // the number of time series unbounded.
     const std::string service = m_document ? m_document->service : std::string();
-    m_router.m_metrics.recordLatency(service, m_rank, result.outcome, currentTime() - m_start);
+    m_router.m_metrics.recordLatency(service, m_rank, result.outcome, currentTime() - m_startedAt);
     m_router.m_metrics.count("persimmonrail_answers_total",
                              absl::StrCat("service=\"", escapeLabel(service), "\",outcome=\"",
                                           std::string(toString(result.outcome)), "\",reason=\"",
@@ -453,7 +458,7 @@
     body.set("request_id", m_requestId);
     std::ostringstream text;
     body.stringify(text);
-    const int status = statusOf(result);
+    const int status = httpStatusOf(result);
     Poco::Net::HTTPResponse head(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(status));
     head.setContentType("application/json");
     head.set(outcomeHeader, outcome);
@@ -475,17 +480,18 @@
     m_rank = m_message.get(rankHeader, "");
     const std::string hash = m_message.get(keyHashHeader, "");
     uint64_t hashValue = 0;
-    int64_t left = 0;
+    int64_t remainingMs = 0;
     auto target = parseTarget(m_message.getURI());
     if (!target.ok() || m_requestId.empty()
-        || !absl::SimpleAtoi(m_message.get(deadlineHeader, ""), &left) || left < 0
-        || left > maxDeadlineMs || (!hash.empty() && !absl::SimpleHexAtoi(hash, &hashValue))) {
-        return respondWithError(notRun("malformed-forwarded-request", 400));
+        || !absl::SimpleAtoi(m_message.get(deadlineHeader, ""), &remainingMs) || remainingMs < 0
+        || remainingMs > maxDeadlineMs
+        || (!hash.empty() && !absl::SimpleHexAtoi(hash, &hashValue))) {
+        return respondWithError(notRunResult("malformed-forwarded-request", 400));
     }
-    takeSubsidiary();
+    readSubsidiary();
     removeOwnFields(m_message);
     m_target = *std::move(target);
-    m_deadline = m_start + milliseconds(left);
+    m_deadline = m_startedAt + milliseconds(remainingMs);
     m_view = m_router.m_hooks.view();
     if (m_view) {
         const auto document = m_view->documents.find(m_target.service);
@@ -494,22 +500,23 @@
     m_idempotencyKey = m_message.get(idempotencyKeyHeader, "");
     const operation_rule *const operation =
         m_document ? m_document->findOperation(m_message.getMethod(), m_target.path) : nullptr;
-    // The ingress daemon may know another version of the document. A request is treated as
-    // repeatable only if neither side has a reason to think otherwise.
+    // The ingress daemon may have another version of the service document, so the request counts as
+    // repeatable only if neither daemon may regard it otherwise. A request that the ingress daemon
+    // does not regard as repeatable carries an idempotency key.
     m_repeatable = operation != nullptr && operation->repeatable && !isUuidV7(m_idempotencyKey);
     m_rankIndex = m_document ? m_document->rankIndex(m_rank) : 0;
     if (hash.empty()) {
-        const attempt_result result = runLocal(nullptr);
+        const attempt_result result = runLocally(nullptr);
         if (!result.responseStarted && !result.callerDisconnected) {
             respondWithError(result);
         }
         return;
     }
-    m_hash = hashValue;
-    const auto ticket = m_router.m_hooks.localLease(m_target.service, hashValue, m_start);
-    attempt_result result = notRun("not-owner");
+    m_keyHash = hashValue;
+    const auto ticket = m_router.m_hooks.localLease(m_target.service, hashValue, m_startedAt);
+    attempt_result result = notRunResult("not-owner");
     if (ticket) {
-        result = runLocal(ticket.get());
+        result = runLocally(ticket.get());
     } else {
         result.holder = m_router.m_hooks.holderHint(m_target.service, hashValue);
         logAttempt("", nullptr, result);
--- a/src/persimmonrail/gateway/routed_request.h
+++ b/src/persimmonrail/gateway/routed_request.h
@@ -10,72 +10,108 @@
 
 namespace persimmonrail {
 
-// What one attempt, or the whole request, came to.
+// Result of one attempt, or of the whole request.
 struct attempt_result
 {
     request_outcome outcome = request_outcome::NotRun;
     std::string reason;
-    // Status of an answer that persimmonrail itself gives; 0 derives it from the outcome.
+    // HTTP status of an error response that persimmonrail creates. If it is 0, the outcome and the
+    // reason determine the status.
     int status = 0;
     milliseconds retryAfter{0};
-    // The request may run elsewhere, or here a little later.
-    bool tryNext = false;
+    // Whether the request may run on another instance, or on the same one after a short wait.
+    bool canRetry = false;
+    // Whether the head of a response was sent, so that no error response can follow.
     bool responseStarted = false;
     bool callerDisconnected = false;
+    // Name of the lease holder that a "not-owner" response states; empty if unknown.
     std::string holder;
 };
 
-// One request on its way through this daemon. Used by the thread of its connection.
+// Routes one request of a caller or of another daemon to an upstream. Not thread safe; used by the
+// thread of the request's connection.
 class routed_request
 {
 public:
-    routed_request(request_router &path, server_exchange &exchange);
+    routed_request(request_router &router, server_exchange &exchange);
 
+    // Serves a request of a caller: finds its operation and key in the service document, runs it on
+    // the local upstream or forwards it, and responds.
     void serveCaller();
+    // Serves a request forwarded by another daemon: runs it on the local upstream, or responds with
+    // an error. Never forwards the request again.
     void servePeer();
+    // Sends a response that states the outcome and reason of `result` as header fields and JSON.
     void respondWithError(const attempt_result &result);
 
 private:
-    // Steps of the ingress daemon; each returns a result if the request ends there.
-    std::optional<attempt_result> findOperation();
-    std::optional<attempt_result> findKey();
+    // Steps of the ingress daemon, which is the one that the caller is connected to.
+    // resolveOperation() and resolveKey() return a result if the request is rejected, nullopt
+    // otherwise.
+    std::optional<attempt_result> resolveOperation();
+    std::optional<attempt_result> resolveKey();
     void setDeadline(milliseconds timeout);
-    void takeSubsidiary();
+    // Reads the header Persimmonrail-Subsidiary, cut to a maximum length.
+    void readSubsidiary();
+    // Attempts a request that has a key hash in rounds: first under a lease of this daemon, then on
+    // the candidates. Returns when no retry is possible, the deadline leaves no time for another
+    // round, or the caller has disconnected.
     attempt_result routeByHash();
+    // Forwards the request to each candidate in turn. A lease holder named by one of them is tried
+    // next.
     attempt_result tryCandidates();
-    attempt_result routeToAny();
+    // Attempts a request that any instance of the service may run, on up to maxInstances of them.
+    attempt_result routeToAnyInstance();
 
-    attempt_result runLocal(const lease_ticket *ticket);
+    // Runs the request on the local upstream if that upstream is up and belongs to the service.
+    // `ticket` is null for a request that any instance may run.
+    attempt_result runLocally(const lease_ticket *ticket);
+    // Runs a request that is not repeatable, or sends the stored response if it ran before.
     attempt_result runAtMostOnce(const lease_ticket &ticket, steady_time now);
-    attempt_result admitAndDispatch(const lease_ticket *ticket, const caller_sink::keep_hook &keep);
+    // Checks the crash quarantine, waits for a slot of the local upstream and dispatches the
+    // request. `storeResponse` receives a complete response that is small enough; it may be empty.
+    attempt_result admitAndDispatch(const lease_ticket *ticket,
+                                    const caller_sink::store_hook &storeResponse);
+    // Forwards the request to the peer port of another daemon.
     attempt_result forwardTo(const member_record &member);
-    // Whether another attempt may follow one with this result.
-    bool mayContinue(const attempt_result &result);
-    // Whether the body can be sent once more; an attempt needs it.
-    bool prepareBody();
+    // Records an unknown outcome and prepares the next attempt: rewinds the body and, after an
+    // unknown outcome, consumes the retry budget. Returns whether the next attempt may be made.
+    bool prepareRetry(const attempt_result &result);
+    // Rewinds the body for another attempt. Returns false if bytes of the body are no longer
+    // available.
+    bool rewindBody();
+    // Writes the result of an attempt to the decision log. `ticket` may be null.
     void logAttempt(std::string_view instance, const lease_ticket *ticket,
                     const attempt_result &result);
-    void finish(attempt_result result);
+    // Updates the metrics for the whole request and responds, unless the response has already
+    // started.
+    void recordAndRespond(attempt_result result);
 
     request_router &m_router;
     server_exchange &m_exchange;
-    const steady_time m_start;
+    const steady_time m_startedAt;
     std::string m_requestId;
+    // The request as it is passed on, without the Persimmonrail-* fields that it arrived with.
     Poco::Net::HTTPRequest m_message;
     std::shared_ptr<const fleet_view> m_view;
+    // Null if the service is unknown.
     std::shared_ptr<const service_document> m_document;
     request_target m_target;
     std::string m_rank;
+    // Index of the rank in the service document; 0 is the most urgent.
     size_t m_rankIndex = 0;
     std::string m_subsidiary;
     bool m_repeatable = false;
     std::string m_idempotencyKey;
-    std::optional<uint64_t> m_hash;
+    // Absent if any instance of the service may run the request.
+    std::optional<uint64_t> m_keyHash;
     steady_time m_deadline;
+    // Name of the lease holder according to the last peer tried; empty if it named none.
     std::string m_holderHint;
-    // An attempt ended with an unknown outcome, so the request may have run whatever later attempts
-    // come to.
+    // Whether an attempt ended with an unknown outcome. The request may then have run, whatever the
+    // results of later attempts are.
     bool m_mayHaveRun = false;
+    // Reason of the last attempt with an unknown outcome.
     std::string m_unknownReason;
 };
 
--- a/src/persimmonrail/gateway/servers.cpp
+++ b/src/persimmonrail/gateway/servers.cpp
@@ -23,7 +23,7 @@
     return text.str();
 }
 
-void takeAnnouncement(server_exchange &exchange, const admin_hooks &hooks)
+void serveAnnouncement(server_exchange &exchange, const admin_hooks &hooks)
 {
     std::string body;
     const io_status status = exchange.readAll(
@@ -39,8 +39,8 @@
         exchange.respond(400, errorJson(std::string(announcement.status().message())), jsonType);
         return;
     }
-    if (const absl::Status taken = hooks.announce(*announcement); !taken.ok()) {
-        exchange.respond(409, errorJson(std::string(taken.message())), jsonType);
+    if (const absl::Status announced = hooks.announce(*announcement); !announced.ok()) {
+        exchange.respond(409, errorJson(std::string(announced.message())), jsonType);
         return;
     }
     exchange.respond(200, "{}", jsonType);
@@ -84,7 +84,7 @@
     const std::string &method = exchange.request().getMethod();
     const bool isRead = method == "GET" || method == "HEAD";
     if (path == "/v1/announce" && method == "POST") {
-        takeAnnouncement(exchange, hooks);
+        serveAnnouncement(exchange, hooks);
     } else if (path == "/metrics" && isRead) {
         exchange.respond(200, hooks.metricsText(), metricsType);
     } else if (path == "/healthz" && isRead) {
@@ -100,32 +100,32 @@
     }
 }
 
-void servePeer(server_exchange &exchange, request_router &path)
+void servePeer(server_exchange &exchange, request_router &router)
 {
     const std::string &uri = exchange.request().getURI();
-    if (!uri.starts_with(inFlightPath)) {
-        path.servePeer(exchange);
+    if (!uri.starts_with(inFlightPathPrefix)) {
+        router.servePeer(exchange);
         return;
     }
-    const bool isInFlight = path.isInFlight(uri.substr(sizeof(inFlightPath) - 1));
+    const bool isInFlight = router.isInFlight(uri.substr(sizeof(inFlightPathPrefix) - 1));
     exchange.respond(isInFlight ? 200 : 404, "{}", jsonType);
 }
 
-http_server::error_handler errorsOf(request_router &path)
+http_server::error_handler errorHandlerFor(request_router &router)
 {
-    return [&path](server_exchange &exchange, int status, const std::string &reason) {
-        path.serveError(exchange, status, reason);
+    return [&router](server_exchange &exchange, int status, const std::string &reason) {
+        router.respondToInvalidRequest(exchange, status, reason);
     };
 }
 
 } // namespace
 
 absl::StatusOr<std::unique_ptr<caller_server>>
-caller_server::listen(const http_server_options &options, request_router &path)
+caller_server::listen(const http_server_options &options, request_router &router)
 {
     auto server = http_server::listen(
-        options, [&path](server_exchange &exchange) { path.serveCaller(exchange); },
-        errorsOf(path));
+        options, [&router](server_exchange &exchange) { router.serveCaller(exchange); },
+        errorHandlerFor(router));
     if (!server.ok()) {
         return server.status();
     }
@@ -135,10 +135,11 @@
 }
 
 absl::StatusOr<std::unique_ptr<peer_server>> peer_server::listen(const http_server_options &options,
-                                                                 request_router &path)
+                                                                 request_router &router)
 {
     auto server = http_server::listen(
-        options, [&path](server_exchange &exchange) { servePeer(exchange, path); }, errorsOf(path));
+        options, [&router](server_exchange &exchange) { servePeer(exchange, router); },
+        errorHandlerFor(router));
     if (!server.ok()) {
         return server.status();
     }
--- a/src/persimmonrail/gateway/servers.h
+++ b/src/persimmonrail/gateway/servers.h
@@ -9,13 +9,14 @@
 
 namespace persimmonrail {
 
-// Caller port: ANY /<service>/<path>. Thread safe.
+// HTTP server on the caller port. Serves any method on /<service>/<path>. Thread safe.
 class caller_server
 {
 public:
-    // Errors: Unavailable if the address can't be bound.
+    // Starts the server. `router` must outlive it. Errors: Unavailable if the address can't be
+    // bound.
     static absl::StatusOr<std::unique_ptr<caller_server>> listen(const http_server_options &options,
-                                                                 request_router &path);
+                                                                 request_router &router);
     const std::string &address() const { return m_server->address(); }
     http_server &server() { return *m_server; }
 
@@ -23,13 +24,15 @@
     std::unique_ptr<http_server> m_server;
 };
 
-// Port for requests forwarded by other daemons. Thread safe.
+// HTTP server on the peer port. Serves requests forwarded by other daemons, and their queries under
+// inFlightPathPrefix. Thread safe.
 class peer_server
 {
 public:
-    // Errors: Unavailable if the address can't be bound.
+    // Starts the server. `router` must outlive it. Errors: Unavailable if the address can't be
+    // bound.
     static absl::StatusOr<std::unique_ptr<peer_server>> listen(const http_server_options &options,
-                                                               request_router &path);
+                                                               request_router &router);
     const std::string &address() const { return m_server->address(); }
     http_server &server() { return *m_server; }
 
@@ -37,25 +40,29 @@
     std::unique_ptr<http_server> m_server;
 };
 
+// Functions that supply the resources of the admin port. They must be thread safe.
 struct admin_hooks
 {
-    // Takes a post to /v1/announce; required.
+    // Handles an announcement of the upstream (POST /v1/announce). An error status is sent as an
+    // HTTP 409 response. Required.
     std::function<absl::Status(const upstream_announcement &announcement)> announce;
-    // Text of /metrics; required.
+    // Returns the text of /metrics. Required.
     std::function<std::string()> metricsText;
-    // Why the daemon is not ready; empty if it is.
+    // Returns the reason why the daemon is not ready, or an empty text if it is ready. Optional:
+    // the daemon always counts as ready without it.
     std::function<std::string()> notReadyReason;
-    // JSON of /v1/explain?service=&key=.
+    // Returns the JSON text of /v1/explain?service=&key=. Optional.
     std::function<std::string(const std::string &service, const std::string &key)> explain;
-    // JSON of /v1/state.
+    // Returns the JSON text of /v1/state. Optional.
     std::function<std::string()> state;
 };
 
-// Admin port: /v1/announce, /metrics, /healthz, /readyz, /v1/explain and /v1/state. Thread safe.
+// HTTP server on the admin port. Serves /v1/announce, /metrics, /healthz, /readyz, /v1/explain and
+// /v1/state. Thread safe.
 class admin_server
 {
 public:
-    // Errors: Unavailable if the address can't be bound.
+    // Starts the server. Errors: Unavailable if the address can't be bound.
     static absl::StatusOr<std::unique_ptr<admin_server>> listen(const http_server_options &options,
                                                                 admin_hooks hooks);
     const std::string &address() const { return m_server->address(); }
--- a/src/persimmonrail/gateway/silent_peers.cpp
+++ b/src/persimmonrail/gateway/silent_peers.cpp
@@ -3,24 +3,25 @@
 namespace persimmonrail {
 namespace {
 
-// A standby serves about 1.2 s after its owner's loss. By the end of this time the view or a hint
-// leads elsewhere, or the peer is worth another try.
-constexpr milliseconds silenceMemory{2000};
+// Time for which a peer counts as unresponsive. A standby takes over about 1.2 s after the loss of
+// the owner, so by the end of this time the fleet view or a hint names the new owner, or the peer
+// may be tried again.
+constexpr milliseconds exclusionTime{2000};
 
 } // namespace
 
 void silent_peers::mark(const std::string &address, steady_time now)
 {
     const std::lock_guard lock(m_mutex);
-    std::erase_if(m_until, [now](const auto &entry) { return entry.second <= now; });
-    m_until[address] = now + silenceMemory;
+    std::erase_if(m_excludedUntil, [now](const auto &entry) { return entry.second <= now; });
+    m_excludedUntil[address] = now + exclusionTime;
 }
 
 bool silent_peers::contains(std::string_view address, steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
-    const auto entry = m_until.find(address);
-    return entry != m_until.end() && now < entry->second;
+    const auto entry = m_excludedUntil.find(address);
+    return entry != m_excludedUntil.end() && now < entry->second;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/silent_peers.h
+++ b/src/persimmonrail/gateway/silent_peers.h
@@ -9,22 +9,23 @@
 
 namespace persimmonrail {
 
-// Peers that did not answer a probe on a new connection. A frozen daemon still gets connections
-// from its kernel, so only the missing answer shows that it is gone; without a memory of that,
-// each request would wait for it anew.
+// Remembers unresponsive peers: those that did not respond to a probe on a new connection. The
+// kernel of a frozen daemon still accepts connections, so only the missing response shows that the
+// daemon is unresponsive. Without this record, each request would wait for such a peer again.
 //
 // Thread safe.
 class silent_peers
 {
 public:
+    // Marks a peer as unresponsive for two seconds.
     void mark(const std::string &address, steady_time now);
-    // Whether the peer was marked within the last two seconds.
+    // Returns whether the peer was marked within the last two seconds.
     bool contains(std::string_view address, steady_time now) const;
 
 private:
     mutable std::mutex m_mutex;
-    // Until when a peer counts as silent, by address.
-    std::map<std::string, steady_time, std::less<>> m_until;
+    // Time until which each peer counts as unresponsive, by address.
+    std::map<std::string, steady_time, std::less<>> m_excludedUntil;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/tests/admin_test.cpp
+++ b/src/persimmonrail/gateway/tests/admin_test.cpp
@@ -4,13 +4,14 @@
 
 using namespace persimmonrail;
 
-// Guards against admin answers that scripts and probes would misread.
+// Guards against responses of the admin port with a wrong status or text, which scripts and health
+// probes would misinterpret.
 TEST_CASE("the admin port serves its resources", "[gateway]")
 {
     test_fleet fleet;
     auto &owner = fleet.add("owner");
     owner.holdsLease = true;
-    fleet.place("owner");
+    fleet.setPlacement("owner");
     std::string notReady = "no platform state yet";
     std::vector<std::string> announced;
     admin_hooks hooks;
@@ -21,15 +22,16 @@
     hooks.metricsText = [&] { return owner.counters.renderText(); };
     hooks.notReadyReason = [&] { return notReady; };
     hooks.explain = [&](const std::string &service, const std::string &key) {
-        return owner.path->explain(service, key, std::chrono::steady_clock::now());
+        return owner.router->explain(service, key, std::chrono::steady_clock::now());
     };
     hooks.state = [] { return std::string("{\"state\":1}"); };
     auto admin = admin_server::listen({}, hooks);
     REQUIRE(admin.ok());
     const std::string announcement = encodeAnnouncement(owner.standin->announcement());
-    call(owner.callers->address(), "GET", "/standin/records/k");
-    // Closing the port waits for the counters, which are updated after the answer.
-    owner.callers.reset();
+    call(owner.callerServer->address(), "GET", "/standin/records/k");
+    // Destroying the server waits for its requests, which update the counters after the response
+    // has been sent.
+    owner.callerServer.reset();
     struct
     {
         const char *method;
--- a/src/persimmonrail/gateway/tests/draining_test.cpp
+++ b/src/persimmonrail/gateway/tests/draining_test.cpp
@@ -4,9 +4,10 @@
 
 using namespace persimmonrail;
 
-// Guards P6: a stopping instance gets no new work, even if the stop began while a request waited
-// for admission, and a request that another instance may run is not refused to its caller.
-TEST_CASE("a stopping daemon leaves requests to others", "[gateway]")
+// Guards property P6 in docs/design.md: an instance that is stopping receives no new requests, even
+// if the stop began while a request waited for admission. A request that another instance may run
+// is not rejected.
+TEST_CASE("requests to a stopping daemon run on another instance", "[gateway]")
 {
     for (const std::string service : {"standin", "photos"}) {
         for (const bool stopsDuringAdmission : {false, true}) {
@@ -22,18 +23,19 @@
             });
             auto &second = fleet.add("second", service);
             first.holdsLease = second.holdsLease = true;
-            fleet.place("first", {"second"});
+            fleet.setPlacement("first", {"second"});
             const std::string uri = "/" + service + "/records/k";
-            CHECK(call(first.callers->address(), "PUT", uri, "k").outcome == "run");
+            CHECK(call(first.callerServer->address(), "PUT", uri, "k").outcome == "run");
             CHECK(first.standin->history().empty());
             CHECK(second.standin->history().size() == 1);
-            // Without another instance the caller learns that the request did not run.
-            const auto alone =
-                call(first.peers->address(), "GET", uri, "",
+            // A forwarded request is not forwarded again, so the response states that it did not
+            // run.
+            const auto forwarded =
+                call(first.peerServer->address(), "GET", uri, "",
                      {"Persimmonrail-Request-Id: r", "Persimmonrail-Deadline-Ms: 1000"});
-            CHECK(alone.status == 503);
-            CHECK(alone.outcome == "not-run");
-            CHECK(alone.reason == "draining");
+            CHECK(forwarded.status == 503);
+            CHECK(forwarded.outcome == "not-run");
+            CHECK(forwarded.reason == "draining");
         }
     }
 }
--- a/src/persimmonrail/gateway/tests/gateway_test.cpp
+++ b/src/persimmonrail/gateway/tests/gateway_test.cpp
@@ -13,7 +13,9 @@
 
 namespace {
 
-std::string patternOf(size_t size)
+// Returns bytes whose values depend on their positions, so that lost or reordered pieces are
+// detected.
+std::string makePattern(size_t size)
 {
     std::string bytes(size, '\0');
     for (size_t i = 0; i < size; ++i) {
@@ -22,33 +24,34 @@
     return bytes;
 }
 
-// An address at which connections are refused.
-std::string refusingAddress()
+// Returns an address at which connections are refused, since its listening socket has been closed.
+std::string closedPortAddress()
 {
     const scripted_server gone([](Poco::Net::StreamSocket &, int) {});
     return gone.address();
 }
 
-size_t runs(const test_fleet::daemon &daemon)
+size_t runCount(const test_fleet::daemon &daemon)
 {
     return daemon.standin->history().size();
 }
 
 } // namespace
 
-// Guards P3: every byte of the answer reaches the caller, locally and over two hops.
-TEST_CASE("bodies pass whole in both directions", "[gateway]")
+// Guards property P3 in docs/design.md: every byte of a response reaches the caller, whether the
+// request runs locally or is forwarded.
+TEST_CASE("bodies arrive complete in both directions", "[gateway]")
 {
     test_fleet fleet;
     auto &owner = fleet.add("owner");
     auto &other = fleet.add("other", "");
     owner.holdsLease = true;
-    fleet.place("owner");
+    fleet.setPlacement("owner");
     for (const size_t size : {size_t{1}, size_t{4096}, size_t{5 * 1024 * 1024}}) {
         for (const auto *ingress : {&owner, &other}) {
             CAPTURE(size, ingress->name);
-            const std::string bytes = patternOf(size);
-            const std::string &address = ingress->callers->address();
+            const std::string bytes = makePattern(size);
+            const std::string &address = ingress->callerServer->address();
             const caller_response put = call(address, "PUT", "/standin/records/k", bytes);
             CHECK(put.status == 200);
             CHECK(put.outcome == "run");
@@ -69,13 +72,14 @@
     CHECK(first.term == 7);
 }
 
-// Guards P4: a request refused before it reaches an upstream says so, with its reason.
-TEST_CASE("requests that cannot be routed are answered not-run", "[gateway]")
+// Guards property P4 in docs/design.md: the response to a request that is rejected before it
+// reaches an upstream has the outcome "not-run" and the reason.
+TEST_CASE("requests that cannot be routed have the outcome not-run", "[gateway]")
 {
     test_fleet fleet;
     auto &owner = fleet.add("owner");
     owner.holdsLease = true;
-    fleet.place("owner");
+    fleet.setPlacement("owner");
     struct
     {
         const char *method;
@@ -112,28 +116,28 @@
     for (const auto &row : table) {
         CAPTURE(row.method, row.uri, row.reason);
         const caller_response response =
-            call(owner.callers->address(), row.method, row.uri, "", row.fields);
+            call(owner.callerServer->address(), row.method, row.uri, "", row.fields);
         CHECK(response.status == row.status);
         CHECK(response.outcome == "not-run");
         CHECK(response.reason == row.reason);
         CHECK(response.head.get(requestIdHeader).size() == 32);
         CHECK(response.body.find(row.reason) != std::string::npos);
     }
-    CHECK(runs(owner) == 0);
+    CHECK(runCount(owner) == 0);
 }
 
-// Guards against requests that fail although another daemon can run them.
-TEST_CASE("a request moves on to the holder", "[gateway]")
+// Guards against requests that fail although another daemon could run them.
+TEST_CASE("a request is retried on the lease holder", "[gateway]")
 {
     struct
     {
         const char *name;
         std::vector<std::string> standbys;
         const char *hint;
-        bool ownerRefuses;
+        bool isOwnerPortClosed;
     } const table[] = {
         {"standby after not-owner", {"second"}, "", false},
-        {"hinted holder that is no standby", {}, "second", false},
+        {"hinted holder that is not a standby", {}, "second", false},
         {"standby after a refused connection", {"second"}, "", true},
     };
     for (const auto &row : table) {
@@ -144,22 +148,22 @@
         auto &ingress = fleet.add("ingress", "");
         second.holdsLease = true;
         first.holderHint = row.hint;
-        fleet.place("first", row.standbys);
-        if (row.ownerRefuses) {
-            fleet.setPeerAddress("first", refusingAddress());
+        fleet.setPlacement("first", row.standbys);
+        if (row.isOwnerPortClosed) {
+            fleet.setPeerAddress("first", closedPortAddress());
         }
-        const caller_response response = call(ingress.callers->address(), "POST",
+        const caller_response response = call(ingress.callerServer->address(), "POST",
                                               "/standin/records/k", "body", {idempotencyField});
         CHECK(response.outcome == "run");
         CHECK(response.body == "1");
-        CHECK(runs(first) == 0);
-        CHECK(runs(second) == 1);
+        CHECK(runCount(first) == 0);
+        CHECK(runCount(second) == 1);
     }
 }
 
-// Guards against requests that wait until their deadline for a frozen daemon, whose kernel still
-// takes connections, while a standby holds the partition.
-TEST_CASE("a repeatable request leaves a frozen daemon", "[gateway]")
+// Guards against requests that wait for a frozen daemon until their deadline although a standby
+// holds the partition. The kernel of a frozen daemon still accepts connections.
+TEST_CASE("a repeatable request to a frozen daemon is retried on the standby", "[gateway]")
 {
     test_fleet fleet;
     fleet.add("frozen");
@@ -168,86 +172,90 @@
         daemon.hooks.retryBudget = [](bool, steady_time) { return true; };
     });
     standby.holdsLease = true;
-    fleet.place("frozen", {"standby"});
+    fleet.setPlacement("frozen", {"standby"});
     const Poco::Net::ServerSocket silent(Poco::Net::SocketAddress("127.0.0.1", 0));
     fleet.setPeerAddress("frozen", silent.address().toString());
     const caller_response put =
-        call(ingress.callers->address(), "PUT", "/standin/records/k", "record");
+        call(ingress.callerServer->address(), "PUT", "/standin/records/k", "record");
     CHECK(put.outcome == "run");
-    // The silent peer is remembered, so the next request does not connect to it.
-    const caller_response get = call(ingress.callers->address(), "GET", "/standin/records/k");
+    // The peer is marked as unresponsive, so the next request does not connect to it.
+    const caller_response get = call(ingress.callerServer->address(), "GET", "/standin/records/k");
     CHECK(get.outcome == "run");
     CHECK(get.body == "record");
 }
 
-// Guards against giving up during a failover, and against trying beyond the deadline.
-TEST_CASE("rounds continue until an owner appears or the deadline passes", "[gateway]")
+// Guards against requests that fail during a failover, and against attempts after the deadline.
+TEST_CASE("a request is retried until an owner appears or its deadline passes", "[gateway]")
 {
-    for (const bool appears : {true, false}) {
-        CAPTURE(appears);
+    for (const bool ownerAppears : {true, false}) {
+        CAPTURE(ownerAppears);
         test_fleet fleet;
-        fleet.setTimeout(appears ? generous : 300ms);
+        fleet.setTimeout(ownerAppears ? testTimeout : 300ms);
         std::atomic<int> lookups = 0;
         auto &owner = fleet.add("owner", "standin", [&](test_fleet::daemon &daemon) {
-            daemon.onLookup = [&] { daemon.holdsLease = ++lookups >= 3 && appears; };
+            daemon.onLeaseLookup = [&] { daemon.holdsLease = ++lookups >= 3 && ownerAppears; };
         });
         auto &ingress = fleet.add("ingress", "");
-        fleet.place("owner");
+        fleet.setPlacement("owner");
         const caller_response response =
-            call(ingress.callers->address(), "GET", "/standin/records/k");
-        CHECK(response.outcome == (appears ? "run" : "not-run"));
-        CHECK(response.status == (appears ? 404 : 503));
-        CHECK(response.reason == (appears ? "" : "not-owner"));
-        CHECK(response.head.has("Retry-After") != appears);
-        CHECK(runs(owner) == (appears ? 1 : 0));
+            call(ingress.callerServer->address(), "GET", "/standin/records/k");
+        CHECK(response.outcome == (ownerAppears ? "run" : "not-run"));
+        CHECK(response.status == (ownerAppears ? 404 : 503));
+        CHECK(response.reason == (ownerAppears ? "" : "not-owner"));
+        CHECK(response.head.has("Retry-After") != ownerAppears);
+        CHECK(runCount(owner) == (ownerAppears ? 1 : 0));
     }
 }
 
-// Guards P3 and P4: an answer that broke off is never whole, and its request is not "not-run".
-TEST_CASE("truncated answers are unknown", "[gateway]")
+// Guards properties P3 and P4 in docs/design.md: a truncated response is never reported as
+// complete, nor its request as "not-run".
+TEST_CASE("a request with a truncated response has an unknown outcome", "[gateway]")
 {
     test_fleet fleet;
     auto &owner = fleet.add("owner");
     auto &other = fleet.add("other", "");
     owner.holdsLease = true;
-    fleet.place("owner");
-    const std::string bytes = patternOf(1024 * 1024);
+    fleet.setPlacement("owner");
+    const std::string bytes = makePattern(1024 * 1024);
     for (const auto *ingress : {&owner, &other}) {
-        for (const size_t cut : {size_t{1000}, size_t{500'000}}) {
-            CAPTURE(ingress->name, cut);
-            const std::string &address = ingress->callers->address();
+        for (const size_t truncateAfter : {size_t{1000}, size_t{500'000}}) {
+            CAPTURE(ingress->name, truncateAfter);
+            const std::string &address = ingress->callerServer->address();
             REQUIRE(call(address, "PUT", "/standin/records/k", bytes).status == 200);
             const caller_response response = call(address, "GET", "/standin/records/k", "",
-                                                  {"X-Truncate: " + std::to_string(cut)});
+                                                  {"X-Truncate: " + std::to_string(truncateAfter)});
             if (response.outcome == "run") {
-                // The head had gone out already; the framing shows that the body is not whole.
-                CHECK_FALSE(response.whole);
-                CHECK(response.body.size() <= cut);
+                // The head had already been sent; the framing shows that the body is incomplete.
+                CHECK_FALSE(response.isComplete);
+                CHECK(response.body.size() <= truncateAfter);
             } else {
                 CHECK(response.outcome == "unknown");
                 CHECK(response.status == 502);
                 CHECK(response.reason == "truncated-answer");
             }
-            CHECK((response.outcome == "run") == (cut > bodyPieceBytes));
+            CHECK((response.outcome == "run") == (truncateAfter > bodyPieceBytes));
         }
     }
 }
 
-TEST_CASE("a silent upstream makes a request unknown at its deadline", "[gateway]")
+// Guards against requests that outlive their deadline, or are reported as "not-run", when the
+// upstream does not respond.
+TEST_CASE("a request to an unresponsive upstream has an unknown outcome at its deadline",
+          "[gateway]")
 {
     test_fleet fleet;
     fleet.setTimeout(400ms);
     auto &owner = fleet.add("owner");
     auto &other = fleet.add("other", "");
     owner.holdsLease = true;
-    fleet.place("owner");
+    fleet.setPlacement("owner");
     upstream_standin_faults faults;
     faults.frozen = true;
     owner.standin->setFaults(faults);
     for (const auto *ingress : {&owner, &other}) {
         CAPTURE(ingress->name);
         const caller_response response =
-            call(ingress->callers->address(), "GET", "/standin/records/k");
+            call(ingress->callerServer->address(), "GET", "/standin/records/k");
         CHECK(response.outcome == "unknown");
         CHECK(response.status == 504);
         CHECK(response.reason == "deadline-exceeded");
@@ -255,25 +263,26 @@
     owner.standin->setFaults({});
 }
 
-// Guards against work that goes on for a caller that is gone.
-TEST_CASE("a caller that disconnects cancels its request over two hops", "[gateway]")
+// Guards against work that continues for a caller that has disconnected.
+TEST_CASE("the disconnect of a caller cancels a forwarded request", "[gateway]")
 {
     test_fleet fleet;
     auto &owner = fleet.add("owner");
     auto &other = fleet.add("other", "");
     owner.holdsLease = true;
-    fleet.place("owner");
+    fleet.setPlacement("owner");
     {
-        Poco::Net::StreamSocket caller{Poco::Net::SocketAddress(other.callers->address())};
+        Poco::Net::StreamSocket caller{Poco::Net::SocketAddress(other.callerServer->address())};
         sendText(caller,
                  "GET /standin/records/k HTTP/1.1\r\nHost: a\r\nX-Service-Ms: 60000\r\n\r\n");
-        REQUIRE(owner.standin->waitFor([](const auto &all) { return !all.empty(); }, generous));
+        REQUIRE(owner.standin->waitFor([](const auto &all) { return !all.empty(); }, testTimeout));
     }
     CHECK(owner.standin->waitFor([](const auto &all) { return all[0].state == "cancelled"; },
-                                 generous));
+                                 testTimeout));
 }
 
-// Guards P5: a broken upload must not run, and a request must not run twice.
+// Guards property P5 in docs/design.md: a request with an incomplete body must not run, and a
+// request must not run twice.
 TEST_CASE("a large body is sent to one owner only", "[gateway]")
 {
     test_fleet fleet;
@@ -281,26 +290,27 @@
     auto &second = fleet.add("second");
     auto &ingress = fleet.add("ingress", "");
     second.holdsLease = true;
-    fleet.place("first", {"second"});
-    const std::string bytes = patternOf(3 * 1024 * 1024);
+    fleet.setPlacement("first", {"second"});
+    const std::string bytes = makePattern(3 * 1024 * 1024);
     const caller_response response =
-        call(ingress.callers->address(), "PUT", "/standin/records/k", bytes);
+        call(ingress.callerServer->address(), "PUT", "/standin/records/k", bytes);
     CHECK(response.outcome == "run");
-    CHECK(runs(first) == 0);
-    CHECK(runs(second) == 1);
+    CHECK(runCount(first) == 0);
+    CHECK(runCount(second) == 1);
     CHECK(response.head.get("X-Checksum") == standinChecksum(bytes));
 
-    Poco::Net::StreamSocket caller{Poco::Net::SocketAddress(second.callers->address())};
+    Poco::Net::StreamSocket caller{Poco::Net::SocketAddress(second.callerServer->address())};
     sendText(caller,
              "PUT /standin/records/cut HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
              "5\r\nhello\r\n");
     caller.shutdown();
     CHECK(second.standin->waitFor(
-        [](const auto &all) { return !all.empty() && all.back().state == "broken"; }, generous));
+        [](const auto &all) { return !all.empty() && all.back().state == "broken"; }, testTimeout));
 }
 
-// Guards against a queue without bound and against refusals that do not say when to come back.
-TEST_CASE("requests beyond the slots are refused early", "[gateway]")
+// Guards against an unbounded queue, and against rejections without the time after which the caller
+// may retry.
+TEST_CASE("requests beyond the slots are rejected early", "[gateway]")
 {
     test_fleet fleet;
     auto &owner = fleet.add("owner", "standin", [](test_fleet::daemon &daemon) {
@@ -312,74 +322,75 @@
     });
     auto &other = fleet.add("other", "");
     owner.holdsLease = true;
-    fleet.place("owner");
-    std::thread busy([&] {
-        call(owner.callers->address(), "POST", "/standin/records/k", "",
+    fleet.setPlacement("owner");
+    std::thread longRequest([&] {
+        call(owner.callerServer->address(), "POST", "/standin/records/k", "",
              {"X-Service-Ms: 60000", idempotencyField});
     });
-    REQUIRE(owner.standin->waitFor([](const auto &all) { return !all.empty(); }, generous));
+    REQUIRE(owner.standin->waitFor([](const auto &all) { return !all.empty(); }, testTimeout));
     for (const auto *ingress : {&owner, &other}) {
-        const caller_response refused =
-            call(ingress->callers->address(), "GET", "/standin/records/k");
-        CHECK(refused.status == 429);
-        CHECK(refused.outcome == "not-run");
-        CHECK(refused.reason == "overload");
-        CHECK(refused.head.get("Retry-After") == "1");
+        const caller_response rejected =
+            call(ingress->callerServer->address(), "GET", "/standin/records/k");
+        CHECK(rejected.status == 429);
+        CHECK(rejected.outcome == "not-run");
+        CHECK(rejected.reason == "overload");
+        CHECK(rejected.head.get("Retry-After") == "1");
     }
     const std::string id = owner.standin->history()[0].requestId;
     http_client client(std::make_shared<connection_pool>());
     CHECK(simpleRequest(client, owner.standin->address(), "DELETE", "/v1/requests/" + id, "",
-                        std::chrono::steady_clock::now() + generous)
+                        std::chrono::steady_clock::now() + testTimeout)
               .ok());
-    busy.join();
-    CHECK(runs(owner) == 1);
+    longRequest.join();
+    CHECK(runCount(owner) == 1);
 }
 
-// Guards against admission control that decides without the rank or subsidiary of a request, or
-// never learns how requests end.
-TEST_CASE("admission control sees requests and their ends, also across a hop", "[gateway]")
+// Guards against admission control that does not receive the rank or subsidiary of a request, or
+// the end of the request.
+TEST_CASE("admission control receives each request and its end, also if it is forwarded",
+          "[gateway]")
 {
     struct recording_ticket : admission_ticket
     {
-        recording_ticket(std::string request, std::promise<std::string> &record)
+        recording_ticket(std::string request, std::promise<std::string> &endReport)
             : request(std::move(request))
-            , record(record)
+            , endReport(endReport)
         { }
         void finish(request_outcome outcome, std::string_view reason,
                     std::chrono::nanoseconds latency, steady_time) override
         {
-            record.set_value(absl::StrCat(request, std::string(toString(outcome)), " ",
-                                          std::string(reason),
-                                          latency.count() > 0 ? "" : ", no latency"));
+            endReport.set_value(absl::StrCat(request, std::string(toString(outcome)), " ",
+                                             std::string(reason),
+                                             latency.count() > 0 ? "" : ", no latency"));
         }
         std::string request;
-        std::promise<std::string> &record;
+        std::promise<std::string> &endReport;
     };
-    std::promise<std::string> record;
+    std::promise<std::string> endReport;
     test_fleet fleet;
-    auto &owner = fleet.add("owner", "standin", [&record](test_fleet::daemon &daemon) {
-        daemon.hooks.admit = [&record](const admission_request &request,
-                                       steady_time) -> admission_result {
+    auto &owner = fleet.add("owner", "standin", [&endReport](test_fleet::daemon &daemon) {
+        daemon.hooks.admit = [&endReport](const admission_request &request,
+                                          steady_time) -> admission_result {
             return std::make_unique<recording_ticket>(
                 absl::StrCat(std::string(request.service), " ", request.rank, " ",
                              std::string(request.subsidiary), " "),
-                record);
+                endReport);
         };
     });
     auto &other = fleet.add("other", "");
     owner.holdsLease = true;
-    fleet.place("owner");
+    fleet.setPlacement("owner");
     for (const auto *ingress : {&owner, &other}) {
         for (const bool shedding : {false, true}) {
-            record = {};
+            endReport = {};
             upstream_standin_faults faults;
             faults.shedding = shedding;
             owner.standin->setFaults(faults);
-            call(ingress->callers->address(), "PUT", "/standin/records/k", "body",
+            call(ingress->callerServer->address(), "PUT", "/standin/records/k", "body",
                  {"Persimmonrail-Subsidiary: muenchen"});
-            // The caller may have its answer before the end is reported.
-            auto reported = record.get_future();
-            REQUIRE(reported.wait_for(generous) == std::future_status::ready);
+            // The caller may receive the response before the end is reported.
+            auto reported = endReport.get_future();
+            REQUIRE(reported.wait_for(testTimeout) == std::future_status::ready);
             CHECK(reported.get()
                   == (shedding ? "standin 0 muenchen not-run shed"
                                : "standin 0 muenchen run answered"));
@@ -387,26 +398,27 @@
     }
 }
 
-// Guards P5: the decision of the at-most-once table is what the caller gets.
-TEST_CASE("at-most-once decisions are carried out", "[gateway]")
+// Guards property P5 in docs/design.md: the response to the caller follows the verdict of the
+// at-most-once table.
+TEST_CASE("the gateway applies at-most-once verdicts", "[gateway]")
 {
     test_fleet fleet;
-    at_most_once_verdict next;
-    std::vector<std::pair<request_outcome, bool>> ended;
+    at_most_once_verdict nextVerdict;
+    std::vector<std::pair<request_outcome, bool>> endedRequests;
     auto &owner = fleet.add("owner", "standin", [&](test_fleet::daemon &daemon) {
-        daemon.hooks.atMostOnceBegin = [&](auto, auto, const auto &, auto) { return next; };
+        daemon.hooks.atMostOnceBegin = [&](auto, auto, const auto &, auto) { return nextVerdict; };
         daemon.hooks.atMostOnceEnd = [&](auto, auto, request_outcome outcome,
                                          const std::shared_ptr<const stored_response> &response) {
-            ended.emplace_back(outcome, response != nullptr);
-            next = {at_most_once_verdict::action::Replay, response, {}, ""};
+            endedRequests.emplace_back(outcome, response != nullptr);
+            nextVerdict = {at_most_once_verdict::action::Replay, response, {}, ""};
         };
     });
     owner.holdsLease = true;
-    fleet.place("owner");
-    const auto post = [&](const std::vector<std::string> &more = {}) {
+    fleet.setPlacement("owner");
+    const auto post = [&](const std::vector<std::string> &extraFields = {}) {
         std::vector<std::string> fields = {idempotencyField};
-        fields.insert(fields.end(), more.begin(), more.end());
-        return call(owner.callers->address(), "POST", "/standin/records/k", "", fields);
+        fields.insert(fields.end(), extraFields.begin(), extraFields.end());
+        return call(owner.callerServer->address(), "POST", "/standin/records/k", "", fields);
     };
     for (int i = 0; i < 2; ++i) {
         const caller_response response = post();
@@ -414,66 +426,68 @@
         CHECK(response.body == "1");
         CHECK(response.head.get("X-Checksum") == standinChecksum("1"));
     }
-    CHECK(runs(owner) == 1);
-    next = {at_most_once_verdict::action::Refuse, nullptr, request_outcome::Unknown,
-            "older-tenure"};
+    CHECK(runCount(owner) == 1);
+    nextVerdict = {at_most_once_verdict::action::Refuse, nullptr, request_outcome::Unknown,
+                   "older-tenure"};
     CHECK(post().status == 502);
     CHECK(post().reason == "older-tenure");
-    next = {};
+    nextVerdict = {};
     CHECK(post({"X-Truncate: 0"}).outcome == "unknown");
-    owner.callers.reset();
-    CHECK(ended
+    owner.callerServer.reset();
+    CHECK(endedRequests
           == std::vector<std::pair<request_outcome, bool>>{{request_outcome::Run, true},
                                                            {request_outcome::Unknown, false}});
 }
 
-// Guards against retries of requests that may have run and must not run again.
+// Guards against retries of requests that may have run and must not run twice.
 TEST_CASE("only repeatable requests are retried after an unknown outcome", "[gateway]")
 {
     test_fleet fleet;
-    int asked = 0;
+    int retriesRequested = 0;
     auto &owner = fleet.add("owner", "standin", [&](test_fleet::daemon &daemon) {
         daemon.hooks.retryBudget = [&](bool isRetry, steady_time) {
-            return !isRetry || ++asked < 2;
+            return !isRetry || ++retriesRequested < 2;
         };
     });
     owner.holdsLease = true;
-    fleet.place("owner");
+    fleet.setPlacement("owner");
     owner.standin->setCrash([] {});
-    const std::string &address = owner.callers->address();
+    const std::string &address = owner.callerServer->address();
     CHECK(call(address, "GET", "/standin/records/k", "", {"X-Crash: 1"}).outcome == "unknown");
-    CHECK(asked == 2);
-    const size_t before = runs(owner);
+    CHECK(retriesRequested == 2);
+    const size_t before = runCount(owner);
     CHECK(before >= 2);
-    asked = 0;
+    retriesRequested = 0;
     CHECK(call(address, "POST", "/standin/records/k", "", {"X-Crash: 1", idempotencyField}).outcome
           == "unknown");
-    CHECK(asked == 0);
-    CHECK(runs(owner) == before + 1);
+    CHECK(retriesRequested == 0);
+    CHECK(runCount(owner) == before + 1);
 }
 
-// Guards P4: a retry that finds no owner does not undo that the first attempt may have run.
-TEST_CASE("a retry that is refused leaves the outcome unknown", "[gateway]")
+// Guards property P4 in docs/design.md: after a first attempt that may have run, a retry that finds
+// no owner does not change the outcome to "not-run".
+TEST_CASE("a rejected retry leaves the outcome unknown", "[gateway]")
 {
     test_fleet fleet;
     fleet.setTimeout(300ms);
     std::atomic<int> lookups = 0;
     auto &owner = fleet.add("owner", "standin", [&](test_fleet::daemon &daemon) {
         daemon.hooks.retryBudget = [](bool, steady_time) { return true; };
-        daemon.onLookup = [&] { daemon.holdsLease = ++lookups == 1; };
+        daemon.onLeaseLookup = [&] { daemon.holdsLease = ++lookups == 1; };
     });
-    fleet.place("owner");
+    fleet.setPlacement("owner");
     owner.standin->setCrash([] {});
     const caller_response response =
-        call(owner.callers->address(), "GET", "/standin/records/k", "", {"X-Crash: 1"});
+        call(owner.callerServer->address(), "GET", "/standin/records/k", "", {"X-Crash: 1"});
     CHECK(response.outcome == "unknown");
     CHECK(response.status == 502);
-    CHECK(runs(owner) >= 1);
+    CHECK(runCount(owner) >= 1);
     CHECK(lookups > 1);
 }
 
-// Guards against refusals by one instance that fail a request which any other could run.
-TEST_CASE("a request for any instance moves on after a refusal", "[gateway]")
+// Guards against requests that fail because one instance rejects them although another instance
+// could run them.
+TEST_CASE("a request for any instance is tried on the next after a rejection", "[gateway]")
 {
     test_fleet fleet;
     std::vector<std::string> attempts;
@@ -488,10 +502,10 @@
     upstream_standin_faults faults;
     faults.shedding = true;
     first.standin->setFaults(faults);
-    CHECK(call(ingress.callers->address(), "PUT", "/photos/records/k", "x").outcome == "run");
-    CHECK(runs(first) == 0);
-    CHECK(runs(second) == 1);
-    // Closing the port waits for the hook, which runs after the answer.
-    ingress.callers.reset();
+    CHECK(call(ingress.callerServer->address(), "PUT", "/photos/records/k", "x").outcome == "run");
+    CHECK(runCount(first) == 0);
+    CHECK(runCount(second) == 1);
+    // Destroying the server waits for the hook, which is called after the response has been sent.
+    ingress.callerServer.reset();
     CHECK(attempts == std::vector<std::string>{"photos-1 not-run", "photos-2 run"});
 }
--- a/src/persimmonrail/gateway/tests/test_fleet.cpp
+++ b/src/persimmonrail/gateway/tests/test_fleet.cpp
@@ -17,7 +17,7 @@
 public:
     const std::string &partition() const override { return m_partition; }
     uint64_t term() const override { return testTerm; }
-    steady_time leaseEnd() const override { return std::chrono::steady_clock::now() + generous; }
+    steady_time leaseEnd() const override { return std::chrono::steady_clock::now() + testTimeout; }
 
 private:
     const std::string m_partition = "standin/all";
@@ -63,7 +63,7 @@
 }
 
 test_fleet::daemon &test_fleet::add(const std::string &name, const std::string &service,
-                                    const std::function<void(daemon &)> &change)
+                                    const std::function<void(daemon &)> &configure)
 {
     daemon &added = *m_daemons.emplace_back(std::make_unique<daemon>());
     added.name = name;
@@ -71,19 +71,19 @@
     added.hooks.view = [this] { return m_view.load(); };
     added.hooks.localLease = [&added](std::string_view, uint64_t,
                                       steady_time) -> std::unique_ptr<lease_ticket> {
-        if (added.onLookup) {
-            added.onLookup();
+        if (added.onLeaseLookup) {
+            added.onLeaseLookup();
         }
         return added.holdsLease ? std::make_unique<test_ticket>() : nullptr;
     };
     added.hooks.holderHint = [&added](std::string_view, uint64_t) { return added.holderHint; };
-    if (change) {
-        change(added);
+    if (configure) {
+        configure(added);
     }
-    added.path = std::make_unique<request_router>(added.options, added.hooks, added.upstreamClient,
-                                                  added.log, added.counters);
-    added.callers = *caller_server::listen({}, *added.path);
-    added.peers = *peer_server::listen({}, *added.path);
+    added.router = std::make_unique<request_router>(
+        added.options, added.hooks, added.upstreamClient, added.log, added.counters);
+    added.callerServer = *caller_server::listen({}, *added.router);
+    added.peerServer = *peer_server::listen({}, *added.router);
     if (!service.empty()) {
         upstream_standin_options options;
         options.service = service;
@@ -91,22 +91,23 @@
         options.checksGrants = service == "standin";
         added.standin = *upstream_standin::start(options);
         const steady_time now = std::chrono::steady_clock::now();
-        // Valid for the whole test, since nothing renews the announcement.
-        REQUIRE(added.upstreamClient.announce(added.standin->announcement(), now + generous).ok());
+        // The announcement is valid for the whole test, since the stand-in does not renew it.
+        REQUIRE(
+            added.upstreamClient.announce(added.standin->announcement(), now + testTimeout).ok());
         REQUIRE(added.upstreamClient
-                    .pushGrants({{"standin/all", testTerm, {0, UINT64_MAX}}}, generous, now)
+                    .pushGrants({{"standin/all", testTerm, {0, UINT64_MAX}}}, testTimeout, now)
                     .ok());
     }
     member_record member;
     member.id = {name, 1};
     member.service = service;
-    member.peerAddress = added.peers->address();
+    member.peerAddress = added.peerServer->address();
     m_members[name] = member;
     publish();
     return added;
 }
 
-void test_fleet::place(const std::string &owner, const std::vector<std::string> &standbys)
+void test_fleet::setPlacement(const std::string &owner, const std::vector<std::string> &standbys)
 {
     m_record.record.owner = {owner, 1};
     m_record.record.standbys.clear();
@@ -140,7 +141,7 @@
     response.status = response.head.getStatus();
     response.outcome = response.head.get(outcomeHeader, "");
     response.reason = response.head.get(reasonHeader, "");
-    response.whole =
+    response.isComplete =
         response.head.getContentLength() == static_cast<std::streamsize>(response.body.size());
     return response;
 }
