--- a/src/persimmonrail/router/member_publisher.cpp
+++ b/src/persimmonrail/router/member_publisher.cpp
@@ -10,8 +10,8 @@
 namespace persimmonrail {
 namespace {
 
-constexpr milliseconds initialRetry{100};
-constexpr milliseconds maxRetry{1000};
+constexpr milliseconds initialRetryDelay{100};
+constexpr milliseconds maxRetryDelay{1000};
 
 } // namespace
 
@@ -23,28 +23,28 @@
     , m_onObject(std::move(onObject))
 { }
 
-void member_publisher::want(const upstream_member &member)
+void member_publisher::publish(const upstream_member &member)
 {
-    m_wanted[member.id.name] = member;
+    m_desiredMembers[member.id.name] = member;
 }
 
 void member_publisher::tick(const fleet_directory &directory, steady_time now)
 {
-    if (m_pending || now < m_nextWriteAt) {
+    if (m_isWritePending || now < m_nextWriteAt) {
         return;
     }
-    for (const auto &[name, member] : m_wanted) {
+    for (const auto &[name, member] : m_desiredMembers) {
         const auto *known = directory.findMember(name);
         if (known == nullptr || !(known->member == member)) {
-            write(member, known == nullptr ? 0 : known->version);
+            writeMember(member, known == nullptr ? 0 : known->version);
             return;
         }
     }
 }
 
-void member_publisher::write(const upstream_member &member, uint64_t version)
+void member_publisher::writeMember(const upstream_member &member, uint64_t version)
 {
-    m_pending = true;
+    m_isWritePending = true;
     m_worker.enqueue([this, member, version] {
         const std::string key = memberKey(member.id.name);
         const std::string value = encodeMember(member);
@@ -56,9 +56,10 @@
             object = *read;
         }
         m_loop.post([this, member, object, status = written.status()](steady_time now) {
-            m_pending = false;
-            m_retry = status.ok() ? initialRetry : std::min(m_retry * 2, maxRetry);
-            m_nextWriteAt = status.ok() ? now : now + m_retry;
+            m_isWritePending = false;
+            m_retryDelay =
+                status.ok() ? initialRetryDelay : std::min(m_retryDelay * 2, maxRetryDelay);
+            m_nextWriteAt = status.ok() ? now : now + m_retryDelay;
             m_log.write(status.ok() ? log_level::Info : log_level::Warn,
                         absl::StrCat("member upstream=", toString(member.id),
                                      " leaving=", member.isDraining, " gone=", member.isTerminated,
--- a/src/persimmonrail/router/member_publisher.h
+++ b/src/persimmonrail/router/member_publisher.h
@@ -11,35 +11,36 @@
 
 namespace persimmonrail {
 
-// Keeps members in the store equal to what this daemon wants to say of them: the upstream beside it
-// and its earlier lives, and peers that it found lost. Writes once per change. Used on the control
-// thread.
+// Keeps members in the store equal to what this daemon publishes: the local upstream, its earlier
+// incarnations, and peers that were found unreachable. Each change is written once. All functions
+// must be called on the control thread.
 class member_publisher
 {
 public:
     member_publisher(object_api store, control_loop &loop, decision_log &log,
                      std::function<void(const stored_object &object)> onObject);
 
-    // What the store shall hold of this member from now on.
-    void want(const upstream_member &member);
-    // Ends the wish about a member.
-    void forget(const std::string &upstream) { m_wanted.erase(upstream); }
-    // Writes what differs from the directory; to be called about every 100 ms.
+    // Sets the content that the store is to have for this member from now on.
+    void publish(const upstream_member &member);
+    // Stops maintaining the member of this upstream; the store keeps its current content.
+    void stopPublishing(const std::string &upstream) { m_desiredMembers.erase(upstream); }
+    // Writes one member that differs from the directory, if no write is pending. Must be called
+    // about every 100 ms.
     void tick(const fleet_directory &directory, steady_time now);
-    bool isSettled() const { return !m_pending; }
+    bool isIdle() const { return !m_isWritePending; }
 
 private:
-    void write(const upstream_member &member, uint64_t version);
+    void writeMember(const upstream_member &member, uint64_t version);
 
     const object_api m_store;
     control_loop &m_loop;
     decision_log &m_log;
     const std::function<void(const stored_object &object)> m_onObject;
-    std::map<std::string, upstream_member> m_wanted;
-    bool m_pending = false;
+    std::map<std::string, upstream_member> m_desiredMembers;
+    bool m_isWritePending = false;
     steady_time m_nextWriteAt{};
-    milliseconds m_retry{100};
-    // Declared last: its thread uses the members above until it has ended.
+    milliseconds m_retryDelay{100};
+    // Declared last, because the worker's thread uses the members above until the thread has ended.
     background_worker m_worker;
 };
 
--- a/src/persimmonrail/router/object_watcher.cpp
+++ b/src/persimmonrail/router/object_watcher.cpp
@@ -16,7 +16,7 @@
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_stopping = true;
+        m_isStopping = true;
     }
     m_wakeUp.notify_all();
     if (m_thread.joinable()) {
@@ -29,32 +29,32 @@
     m_thread = std::thread([this] { run(); });
 }
 
-void object_watcher::pause(milliseconds time)
+void object_watcher::waitFor(milliseconds time)
 {
     std::unique_lock lock(m_mutex);
-    m_wakeUp.wait_for(lock, time, [this] { return m_stopping; });
+    m_wakeUp.wait_for(lock, time, [this] { return m_isStopping; });
 }
 
-absl::Status object_watcher::step()
+absl::Status object_watcher::listOrWatch()
 {
-    const steady_time readAt = std::chrono::steady_clock::now();
-    m_hasWatched = false;
-    if (!m_listed) {
+    const steady_time sentAt = std::chrono::steady_clock::now();
+    m_hasWatchResponded = false;
+    if (!m_isListed) {
         const auto list = m_api.list(m_prefix);
         if (!list.ok()) {
             return list.status();
         }
-        m_listed = true;
+        m_isListed = true;
         m_revision = list->revision;
-        m_hooks.onList(*list, readAt);
+        m_hooks.onList(*list, sentAt);
         return absl::OkStatus();
     }
-    const auto changes = m_api.watch(m_prefix, m_revision, m_options.wait);
+    const auto changes = m_api.watch(m_prefix, m_revision, m_options.maxWatchWait);
     if (absl::IsOutOfRange(changes.status())) {
-        m_listed = false;
+        m_isListed = false;
         if (m_hooks.onEvent) {
             const auto waited =
-                std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - readAt);
+                std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - sentAt);
             m_hooks.onEvent("history-gone waited_ms=" + std::to_string(waited.count()));
         }
         return absl::OkStatus();
@@ -62,38 +62,40 @@
     if (!changes.ok()) {
         return changes.status();
     }
-    m_hasWatched = true;
+    m_hasWatchResponded = true;
     m_revision = std::max(m_revision, changes->revision);
-    m_hooks.onChanges(*changes, readAt);
+    m_hooks.onChanges(*changes, sentAt);
     return absl::OkStatus();
 }
 
 void object_watcher::run()
 {
-    milliseconds retry = m_options.initialRetry;
-    bool reported = false;
+    milliseconds retryDelay = m_options.initialRetryDelay;
+    bool hasReported = false;
     for (;;) {
         {
             const std::lock_guard lock(m_mutex);
-            if (m_stopping) {
+            if (m_isStopping) {
                 return;
             }
         }
-        const absl::Status status = step();
-        if (status.ok() != m_isReachable || !reported) {
-            reported = true;
+        const absl::Status status = listOrWatch();
+        if (status.ok() != m_isReachable || !hasReported) {
+            hasReported = true;
             m_isReachable = status.ok();
-            m_hooks.onReachable(status.ok(), status);
+            m_hooks.onReachabilityChange(status.ok(), status);
         }
         if (status.ok()) {
-            // A list may come another way than a watch, so only a watch shows that all is well.
-            retry = m_hasWatched ? m_options.initialRetry : retry;
+            // A list may take another path to the store than a watch, so only a successful watch
+            // resets the delay.
+            retryDelay = m_hasWatchResponded ? m_options.initialRetryDelay : retryDelay;
             continue;
         }
-        // The history may have moved on meanwhile; a list is always right.
-        m_listed = false;
-        pause(retry);
-        retry = std::min(retry * 2, m_options.maxRetry);
+        // The store may have dropped the history since the failure, and a list is correct in any
+        // case.
+        m_isListed = false;
+        waitFor(retryDelay);
+        retryDelay = std::min(retryDelay * 2, m_options.maxRetryDelay);
     }
 }
 
--- a/src/persimmonrail/router/object_watcher.h
+++ b/src/persimmonrail/router/object_watcher.h
@@ -13,35 +13,37 @@
 
 struct object_watcher_options
 {
-    // Longest time that one watch waits. Each waiting watch counts as one call, so longer is
-    // cheaper; connections that go silent are found by keep-alive.
-    milliseconds wait{20000};
-    milliseconds initialRetry{150};
-    milliseconds maxRetry{1000};
+    // Bounds the wait of one watch. The store counts each watch as one call, so a longer wait costs
+    // fewer calls. TCP keep-alive detects broken connections during the wait.
+    milliseconds maxWatchWait{20000};
+    milliseconds initialRetryDelay{150};
+    milliseconds maxRetryDelay{1000};
 };
 
-// Follows the objects under one prefix on a thread of its own: lists them, then watches from the
-// list's revision, and lists anew when the history is gone.
+// Follows the objects under one prefix on a thread of its own. The watcher lists the objects, then
+// watches from the list's revision, and lists again when the store no longer has the history.
 class object_watcher
 {
 public:
     struct hooks
     {
-        // The whole content, which replaces all before. `readAt` is when the call was sent.
-        std::function<void(const object_list &list, steady_time readAt)> onList;
-        std::function<void(const object_list &changes, steady_time readAt)> onChanges;
-        // A call ended otherwise than with objects, which is no fault: the history is gone.
-        // Optional.
+        // Called with the full content, which replaces all content seen before. `sentAt` is the
+        // time when the call to the store was sent.
+        std::function<void(const object_list &list, steady_time sentAt)> onList;
+        std::function<void(const object_list &changes, steady_time sentAt)> onChanges;
+        // Called when a watch ends because the store no longer has the history, which is not an
+        // error. Optional.
         std::function<void(std::string_view event)> onEvent;
-        // The store stopped or began to answer; called on each change.
-        std::function<void(bool isReachable, const absl::Status &status)> onReachable;
+        // Called after the first call to the store and whenever the store becomes reachable or
+        // unreachable.
+        std::function<void(bool isReachable, const absl::Status &status)> onReachabilityChange;
     };
 
     object_watcher(object_api api, std::string prefix, hooks hooks,
                    object_watcher_options options = {});
     object_watcher(const object_watcher &) = delete;
     object_watcher &operator=(const object_watcher &) = delete;
-    // Waits for the call under way, so `abort` of the API's transport should come first.
+    // Waits for the current call, so the owner should first `abort` the transport of the API.
     ~object_watcher();
 
     void start();
@@ -49,22 +51,22 @@
 
 private:
     void run();
-    // Lists or watches once. Errors: those of object_api.
-    absl::Status step();
-    void pause(milliseconds time);
+    // Makes one list or watch call. Errors: those of object_api.
+    absl::Status listOrWatch();
+    void waitFor(milliseconds time);
 
     const object_api m_api;
     const std::string m_prefix;
     const hooks m_hooks;
     const object_watcher_options m_options;
-    bool m_listed = false;
-    // Whether the last step was a watch that was answered.
-    bool m_hasWatched = false;
+    bool m_isListed = false;
+    // Whether the last call was a watch that got a response.
+    bool m_hasWatchResponded = false;
     uint64_t m_revision = 0;
     std::atomic<bool> m_isReachable{false};
     std::mutex m_mutex;
     std::condition_variable m_wakeUp;
-    bool m_stopping = false;
+    bool m_isStopping = false;
     std::thread m_thread;
 };
 
--- a/src/persimmonrail/router/peer_monitor.cpp
+++ b/src/persimmonrail/router/peer_monitor.cpp
@@ -11,8 +11,9 @@
 namespace persimmonrail {
 namespace {
 
-// Weight of the newest report in the mean; three polls make most of it.
-constexpr double loadSmoothing = 0.4;
+// Weight of the newest report in the exponentially weighted moving average; the last three polls
+// make up most of the average.
+constexpr double utilizationSmoothingWeight = 0.4;
 
 } // namespace
 
@@ -39,35 +40,37 @@
     return status;
 }
 
-std::string encodeStatuses(const peer_status &own, const std::vector<reported_status> &others)
+std::string encodeStatuses(const peer_status &own, const std::vector<forwarded_status> &others)
 {
     std::string text = absl::StrCat(encodePeerStatus(own), ";0;0");
-    for (const reported_status &other : others) {
+    for (const forwarded_status &other : others) {
         absl::StrAppend(&text, "\n", encodePeerStatus(other.status), ";", other.age.count(), ";",
-                        other.isSilent ? 1 : 0);
+                        other.isUnresponsive ? 1 : 0);
     }
     return text;
 }
 
-std::vector<reported_status> parseStatuses(std::string_view text)
+std::vector<forwarded_status> parseStatuses(std::string_view text)
 {
-    std::vector<reported_status> statuses;
+    std::vector<forwarded_status> statuses;
     for (const absl::string_view line : absl::StrSplit(toAbsl(text), '\n')) {
-        const size_t lastField = line.rfind(';');
-        const size_t ageField = lastField == absl::string_view::npos || lastField == 0
+        const size_t lastSeparator = line.rfind(';');
+        const size_t ageSeparator = lastSeparator == absl::string_view::npos || lastSeparator == 0
             ? absl::string_view::npos
-            : line.rfind(';', lastField - 1);
-        if (ageField == absl::string_view::npos) {
+            : line.rfind(';', lastSeparator - 1);
+        if (ageSeparator == absl::string_view::npos) {
             continue;
         }
-        const absl::string_view head = line.substr(0, ageField);
-        const auto status = parsePeerStatus(std::string_view(head.data(), head.size()));
+        const absl::string_view statusText = line.substr(0, ageSeparator);
+        const auto status = parsePeerStatus(std::string_view(statusText.data(), statusText.size()));
         int64_t age = 0;
-        if (!status || !absl::SimpleAtoi(line.substr(ageField + 1, lastField - ageField - 1), &age)
+        if (!status
+            || !absl::SimpleAtoi(line.substr(ageSeparator + 1, lastSeparator - ageSeparator - 1),
+                                 &age)
             || age < 0) {
             continue;
         }
-        statuses.push_back({*status, milliseconds(age), line.substr(lastField + 1) == "1"});
+        statuses.push_back({*status, milliseconds(age), line.substr(lastSeparator + 1) == "1"});
     }
     return statuses;
 }
@@ -86,13 +89,13 @@
     std::map<upstream_id, entry> entries;
     for (const upstream_member *peer : peers) {
         const auto known = m_entries.find(peer->id);
-        entry &kept = entries[peer->id];
+        entry &updated = entries[peer->id];
         if (known != m_entries.end()) {
-            kept = known->second;
+            updated = known->second;
         } else {
-            kept.respondedAt = now;
+            updated.respondedAt = now;
         }
-        kept.member = *peer;
+        updated.member = *peer;
     }
     m_entries = std::move(entries);
 }
@@ -106,37 +109,38 @@
     entry &peer = known->second;
     const double load = utilization(status.queue);
     peer.acceptsRequests = status.acceptsRequests && status.upstream == id;
-    peer.utilization =
-        peer.hasResponded ? peer.utilization + (load - peer.utilization) * loadSmoothing : load;
+    peer.utilization = peer.hasResponded
+        ? peer.utilization + (load - peer.utilization) * utilizationSmoothingWeight
+        : load;
     peer.queue = status.queue;
     peer.hasResponded = true;
-    peer.isSilent = false;
+    peer.isUnresponsive = false;
     peer.respondedAt = now;
 }
 
-void peer_health::onSilence(const upstream_id &id, steady_time)
+void peer_health::onNoResponse(const upstream_id &id, steady_time)
 {
     const auto known = m_entries.find(id);
     if (known != m_entries.end()) {
-        known->second.isSilent = true;
+        known->second.isUnresponsive = true;
     }
 }
 
-void peer_health::onReported(const reported_status &reported, steady_time now)
+void peer_health::onForwardedStatus(const forwarded_status &forwarded, steady_time now)
 {
-    const upstream_id &id = reported.status.upstream;
+    const upstream_id &id = forwarded.status.upstream;
     const auto known = m_entries.find(id);
     if (known == m_entries.end()) {
         return;
     }
-    if (reported.isSilent) {
-        known->second.isSilent = true;
-    } else if (now - reported.age > known->second.respondedAt) {
-        onResponse(id, reported.status, now - reported.age);
+    if (forwarded.isUnresponsive) {
+        known->second.isUnresponsive = true;
+    } else if (now - forwarded.age > known->second.respondedAt) {
+        onResponse(id, forwarded.status, now - forwarded.age);
     }
 }
 
-std::vector<const upstream_member *> peer_health::targets(const upstream_member *self) const
+std::vector<const upstream_member *> peer_health::pollTargets(const upstream_member *self) const
 {
     std::vector<const entry *> ordered;
     for (const auto &[id, peer] : m_entries) {
@@ -144,49 +148,49 @@
     }
     std::sort(ordered.begin(), ordered.end(),
               [](const entry *a, const entry *b) { return hasMoreCapacity(a->member, b->member); });
-    std::vector<const upstream_member *> asked;
+    std::vector<const upstream_member *> targets;
     for (const entry *peer : ordered) {
-        asked.push_back(&peer->member);
-        const bool asksForOthers = self == nullptr || hasMoreCapacity(peer->member, *self);
-        if (asksForOthers && !peer->isSilent) {
-            return asked;
+        targets.push_back(&peer->member);
+        const bool pollsAllPeers = self == nullptr || hasMoreCapacity(peer->member, *self);
+        if (pollsAllPeers && !peer->isUnresponsive) {
+            return targets;
         }
     }
-    return asked;
+    return targets;
 }
 
-std::vector<reported_status> peer_health::known(steady_time now) const
+std::vector<forwarded_status> peer_health::peerStatuses(steady_time now) const
 {
-    std::vector<reported_status> statuses;
+    std::vector<forwarded_status> statuses;
     for (const auto &[id, peer] : m_entries) {
-        if (peer.hasResponded || peer.isSilent) {
+        if (peer.hasResponded || peer.isUnresponsive) {
             const auto age = std::chrono::duration_cast<milliseconds>(now - peer.respondedAt);
             queue_report queue = peer.queue;
             queue.limit = std::max({queue.limit, peer.member.slots, 1});
-            statuses.push_back({{queue, id, peer.acceptsRequests}, age, peer.isSilent});
+            statuses.push_back({{queue, id, peer.acceptsRequests}, age, peer.isUnresponsive});
         }
     }
     return statuses;
 }
 
-bool peer_health::isSilent(const upstream_id &id) const
+bool peer_health::isUnresponsive(const upstream_id &id) const
 {
     const auto known = m_entries.find(id);
-    return known != m_entries.end() && known->second.isSilent;
+    return known != m_entries.end() && known->second.isUnresponsive;
 }
 
 bool peer_health::isUnreachable(const upstream_id &id, steady_time now) const
 {
     const auto known = m_entries.find(id);
-    return known != m_entries.end() && known->second.isSilent
-        && now - known->second.respondedAt >= m_options.unreachableAfter;
+    return known != m_entries.end() && known->second.isUnresponsive
+        && now - known->second.respondedAt >= m_options.unreachableTimeout;
 }
 
-range_controller::peers peer_health::view(const upstream_member *self, steady_time now) const
+range_controller::peer_view peer_health::view(const upstream_member *self, steady_time now) const
 {
-    range_controller::peers view;
-    const bool takesPart = self != nullptr && !self->isDraining;
-    if (takesPart) {
+    range_controller::peer_view view;
+    const bool acceptsKeys = self != nullptr && !self->isDraining;
+    if (acceptsKeys) {
         view.live.push_back({self->id, self->slots});
     }
     view.isCoordinator = self != nullptr;
@@ -199,8 +203,8 @@
         if (self != nullptr && id < self->id) {
             view.isCoordinator = false;
         }
-        // A member that was just written is believed until it could be asked.
-        const bool isLive = peer.hasResponded ? peer.acceptsRequests : !peer.isSilent;
+        // A member that has not been polled yet counts as live, on the word of the store.
+        const bool isLive = peer.hasResponded ? peer.acceptsRequests : !peer.isUnresponsive;
         if (!peer.member.isDraining && isLive) {
             view.live.push_back({id, peer.member.slots});
         }
@@ -211,7 +215,8 @@
     }
     const bool mostAreUnreachable = unreachable.size() * 2 > m_entries.size();
     for (const entry *peer : unreachable) {
-        if (!mostAreUnreachable || now - peer->respondedAt >= m_options.unreachableAfterIfMost) {
+        if (!mostAreUnreachable
+            || now - peer->respondedAt >= m_options.majorityUnreachableTimeout) {
             view.unreachable.push_back(peer->member.id);
         }
     }
@@ -231,49 +236,52 @@
                         const upstream_member *self, steady_time now)
 {
     m_health.setPeers(peers, now);
-    const milliseconds interval =
-        peers.size() > m_options.fewMembers ? m_options.largePollInterval : m_options.pollInterval;
-    // The caller's own interval is not exact.
-    if (now - m_lastRound < interval * 9 / 10) {
+    const milliseconds interval = peers.size() > m_options.maxSmallServiceMembers
+        ? m_options.largeServicePollInterval
+        : m_options.pollInterval;
+    // poll() is not called at exact intervals, so a deviation of 10 % is tolerated.
+    if (now - m_lastPollAt < interval * 9 / 10) {
         return;
     }
-    m_lastRound = now;
-    std::vector<target> sound;
-    std::vector<target> silent;
-    for (const upstream_member *peer : m_health.targets(self)) {
-        (m_health.isSilent(peer->id) ? silent : sound).push_back({peer->id, peer->peerAddress});
+    m_lastPollAt = now;
+    std::vector<poll_target> responsive;
+    std::vector<poll_target> unresponsive;
+    for (const upstream_member *peer : m_health.pollTargets(self)) {
+        (m_health.isUnresponsive(peer->id) ? unresponsive : responsive)
+            .push_back({peer->id, peer->peerAddress});
     }
-    ask(m_soundWorker, std::move(sound), m_soundPending);
-    ask(m_silentWorker, std::move(silent), m_silentPending);
+    enqueuePolls(m_responsiveWorker, std::move(responsive), m_isResponsivePollPending);
+    enqueuePolls(m_unresponsiveWorker, std::move(unresponsive), m_isUnresponsivePollPending);
 }
 
-void peer_monitor::ask(background_worker &worker, std::vector<target> targets, bool &pending)
+void peer_monitor::enqueuePolls(background_worker &worker, std::vector<poll_target> targets,
+                                bool &pending)
 {
     if (pending || targets.empty()) {
         return;
     }
     pending = true;
     worker.enqueue([this, targets = std::move(targets), &pending] {
-        for (const target &target : targets) {
-            askOne(target);
+        for (const poll_target &target : targets) {
+            pollPeer(target);
         }
         m_loop.post([&pending](steady_time) { pending = false; });
     });
 }
 
-void peer_monitor::askOne(const target &target)
+void peer_monitor::pollPeer(const poll_target &target)
 {
     const auto response = simpleRequest(m_client, target.address, "GET", peerStatusesPath, "",
                                         std::chrono::steady_clock::now() + m_options.pollTimeout);
-    auto statuses = response.ok() ? parseStatuses(response->body) : std::vector<reported_status>();
+    auto statuses = response.ok() ? parseStatuses(response->body) : std::vector<forwarded_status>();
     m_loop.post([this, id = target.id, statuses = std::move(statuses)](steady_time respondedAt) {
         if (statuses.empty()) {
-            m_health.onSilence(id, respondedAt);
+            m_health.onNoResponse(id, respondedAt);
             return;
         }
         m_health.onResponse(id, statuses.front().status, respondedAt);
         for (size_t i = 1; i < statuses.size(); ++i) {
-            m_health.onReported(statuses[i], respondedAt);
+            m_health.onForwardedStatus(statuses[i], respondedAt);
         }
     });
 }
--- a/src/persimmonrail/router/peer_monitor.h
+++ b/src/persimmonrail/router/peer_monitor.h
@@ -14,10 +14,10 @@
 
 namespace persimmonrail {
 
-// Path under which a peer port answers with its own status and what it knows of its peers.
+// Path on which a daemon's peer port returns its own status and the statuses of its peers.
 inline constexpr char peerStatusesPath[] = "/v1/statuses";
 
-// What a daemon tells its peers of the upstream beside it.
+// Status of one upstream, as the daemon beside the upstream reports it to its peers.
 struct peer_status
 {
     queue_report queue;
@@ -26,42 +26,43 @@
 };
 
 std::string encodePeerStatus(const peer_status &status);
-// Nothing if the text is no status.
+// Returns nullopt if the text is malformed.
 std::optional<peer_status> parsePeerStatus(std::string_view text);
 
-// What a daemon passes on of a peer that it asked.
-struct reported_status
+// Status of a peer that a daemon has polled, as the daemon forwards it to other peers.
+struct forwarded_status
 {
     peer_status status;
-    // Time since the peer answered.
+    // Time since the peer's last response.
     milliseconds age{0};
-    // Its last answer is missing.
-    bool isSilent = false;
+    // Whether the peer did not respond to the last poll.
+    bool isUnresponsive = false;
 };
 
-// One line per status, the own one first.
-std::string encodeStatuses(const peer_status &own, const std::vector<reported_status> &others);
-// Lines that are no status are left out.
-std::vector<reported_status> parseStatuses(std::string_view text);
+// Encodes one status per line, with this daemon's own status first.
+std::string encodeStatuses(const peer_status &own, const std::vector<forwarded_status> &others);
+// Skips malformed lines.
+std::vector<forwarded_status> parseStatuses(std::string_view text);
 
 struct peer_monitor_options
 {
     milliseconds pollInterval{500};
-    // Between two rounds where a service has more members than `fewMembers`.
-    milliseconds largePollInterval{1000};
-    size_t fewMembers = 16;
+    // Replaces pollInterval for a service with more than `maxSmallServiceMembers` peers.
+    milliseconds largeServicePollInterval{1000};
+    size_t maxSmallServiceMembers = 16;
     milliseconds pollTimeout{400};
-    // A peer that has not answered for this long is unreachable.
-    milliseconds unreachableAfter{1500};
-    // If more than half of the peers are unreachable, this daemon is likely the one that is cut
-    // off, and it waits this long before it acts on it.
-    milliseconds unreachableAfterIfMost{8000};
+    // A peer is unreachable if it did not respond to the last poll and has not responded for this
+    // long.
+    milliseconds unreachableTimeout{1500};
+    // Replaces unreachableTimeout while more than half of the peers are unreachable, since this
+    // daemon is then likely the one that is cut off.
+    milliseconds majorityUnreachableTimeout{8000};
 };
 
-// What this daemon knows of the daemons beside the other upstreams of its service. The first by
-// name of those that can be reached asks all others; the others ask only it, and learn from it what
-// it knows, so that the number of calls grows with the members and not with their square. No
-// decision reads a clock. Not thread safe.
+// What this daemon knows of the daemons beside the other upstreams of its service. The reachable
+// member with the most capacity polls all others; the others poll only this member and learn the
+// other statuses from its response. The number of calls thus grows linearly with the members, not
+// with their square. Functions take the time as a parameter and read no clock. Not thread safe.
 class peer_health
 {
 public:
@@ -69,19 +70,20 @@
 
     void setPeers(const std::vector<const upstream_member *> &peers, steady_time now);
     void onResponse(const upstream_id &id, const peer_status &status, steady_time now);
-    void onSilence(const upstream_id &id, steady_time now);
-    // Takes what the first peer says of another one, unless this daemon knows newer.
-    void onReported(const reported_status &reported, steady_time now);
-    // The peers to be asked in this round; `self` is null if this daemon has no upstream.
-    std::vector<const upstream_member *> targets(const upstream_member *self) const;
-    // What is known of all peers, to be passed on.
-    std::vector<reported_status> known(steady_time now) const;
+    void onNoResponse(const upstream_id &id, steady_time now);
+    // Applies a status that another peer forwarded, unless this daemon has a newer one.
+    void onForwardedStatus(const forwarded_status &forwarded, steady_time now);
+    // Returns the peers to poll in this round; `self` is null if this daemon has no upstream.
+    std::vector<const upstream_member *> pollTargets(const upstream_member *self) const;
+    // Returns the statuses of all polled peers, to be forwarded to other daemons.
+    std::vector<forwarded_status> peerStatuses(steady_time now) const;
     bool isUnreachable(const upstream_id &id, steady_time now) const;
-    // Whether its last answer is missing.
-    bool isSilent(const upstream_id &id) const;
-    // The view of `self`; null if this daemon has no upstream.
-    range_controller::peers view(const upstream_member *self, steady_time now) const;
-    // Mean number of requests per slot that `report` stands for.
+    // Whether the peer did not respond to the last poll.
+    bool isUnresponsive(const upstream_id &id) const;
+    // Returns the input of range_controller as `self` sees it; `self` is null if this daemon has no
+    // upstream.
+    range_controller::peer_view view(const upstream_member *self, steady_time now) const;
+    // Returns the number of running and waiting requests per slot.
     static double utilization(const queue_report &report);
 
 private:
@@ -90,8 +92,8 @@
         upstream_member member;
         steady_time respondedAt{};
         bool hasResponded = false;
-        bool isSilent = false;
-        // By its own word, which is fresher than the store's.
+        bool isUnresponsive = false;
+        // As the peer itself reported, which is newer than the member in the store.
         bool acceptsRequests = false;
         double utilization = 0;
         queue_report queue;
@@ -100,37 +102,38 @@
     std::map<upstream_id, entry> m_entries;
 };
 
-// Polls peers on threads of its own and keeps a peer_health on the control thread.
+// Polls peers on threads of its own and updates a peer_health on the control thread.
 class peer_monitor
 {
 public:
     peer_monitor(control_loop &loop, peer_monitor_options options = {});
-    // To be called about every pollInterval on the control thread; `self` as for targets().
+    // Must be called about every pollInterval on the control thread; `self` as for pollTargets().
     void poll(const std::vector<const upstream_member *> &peers, const upstream_member *self,
               steady_time now);
     peer_health &health() { return m_health; }
 
 private:
-    struct target
+    struct poll_target
     {
         upstream_id id;
         std::string address;
     };
-    void ask(background_worker &worker, std::vector<target> targets, bool &pending);
-    void askOne(const target &target);
+    void enqueuePolls(background_worker &worker, std::vector<poll_target> targets, bool &pending);
+    void pollPeer(const poll_target &target);
 
     control_loop &m_loop;
     const peer_monitor_options m_options;
     peer_health m_health;
-    steady_time m_lastRound{};
-    bool m_soundPending = false;
-    bool m_silentPending = false;
+    steady_time m_lastPollAt{};
+    bool m_isResponsivePollPending = false;
+    bool m_isUnresponsivePollPending = false;
     std::shared_ptr<connection_pool> m_pool;
     http_client m_client;
-    // Declared last: their threads use the members above until they have ended. Silent peers are
-    // asked apart, since each takes the whole timeout.
-    background_worker m_soundWorker;
-    background_worker m_silentWorker;
+    // Declared last, because the workers' threads use the members above until the threads have
+    // ended. Unresponsive peers have a worker of their own, since a poll of each takes the whole
+    // timeout.
+    background_worker m_responsiveWorker;
+    background_worker m_unresponsiveWorker;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/router/placement_write.cpp
+++ b/src/persimmonrail/router/placement_write.cpp
@@ -7,18 +7,18 @@
     switch (result) {
     case write_result::Written:
         return "written";
-    case write_result::Lost:
+    case write_result::Superseded:
         return "lost";
-    case write_result::Undone:
+    case write_result::NotApplied:
         return "undone";
-    case write_result::Open:
+    case write_result::Unconfirmed:
         return "open";
     }
     return "open";
 }
 
-write_result judgeWrite(const absl::Status &status, const placement_write &write,
-                        const absl::StatusOr<stored_object> &readBack)
+write_result classifyWrite(const absl::Status &status, const placement_write &write,
+                           const absl::StatusOr<stored_object> &readBack)
 {
     if (status.ok()) {
         return write_result::Written;
@@ -29,10 +29,10 @@
             return write_result::Written;
         }
         if (readBack->version != write.expectedVersion) {
-            return write_result::Lost;
+            return write_result::Superseded;
         }
     }
-    return absl::IsUnknown(status) ? write_result::Open : write_result::Undone;
+    return absl::IsUnknown(status) ? write_result::Unconfirmed : write_result::NotApplied;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/router/placement_write.h
+++ b/src/persimmonrail/router/placement_write.h
@@ -10,7 +10,7 @@
 
 namespace persimmonrail {
 
-// A conditional write of the service's placement.
+// A write of the service's placement record, conditional on the record's version.
 struct placement_write
 {
     key_placement placement;
@@ -18,20 +18,21 @@
     std::string_view reason;
 };
 
-// What a write of the placement came to.
+// Result of a write of the placement record.
 enum class write_result {
     Written,
-    // Another writer changed the record; this write did not and can't take effect any more.
-    Lost,
+    // Another writer changed the record; this write had no effect and can have none later.
+    Superseded,
     // Nothing was written.
-    Undone,
-    // It may take effect later, as long as nobody else changes the record.
-    Open,
+    NotApplied,
+    // The write may still take effect later, unless another writer changes the record first.
+    Unconfirmed,
 };
 
 std::string_view toString(write_result result);
-// `readBack`: what the store held after the write failed, if it could be read.
-write_result judgeWrite(const absl::Status &status, const placement_write &write,
-                        const absl::StatusOr<stored_object> &readBack);
+// Determines the result of a write that ended with `status`. `readBack` is what the store held
+// after a failed write, or the error of reading the record.
+write_result classifyWrite(const absl::Status &status, const placement_write &write,
+                           const absl::StatusOr<stored_object> &readBack);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/router/range_controller.cpp
+++ b/src/persimmonrail/router/range_controller.cpp
@@ -10,15 +10,16 @@
 namespace persimmonrail {
 namespace {
 
-// Members must not change for this long before the keys are dealt out for the first time, since
-// all upstreams of a site start together.
-constexpr milliseconds settleTime{1500};
-// Between two confirmations by reads. Several fit into the confirmation life, so that one lost
-// answer matters little.
+// Unowned keys are assigned only after membership was unchanged for this long, since all upstreams
+// of a site start together.
+constexpr milliseconds initialAssignmentDelay{1500};
+// Interval between two reads that confirm the record. Several reads fit into the lifetime of a
+// confirmation, so that one lost response does not matter.
 constexpr milliseconds confirmInterval{2000};
-constexpr milliseconds writeRetry{300};
-// Weight of one sample, taken with each tick, so that most of the mean is of the last second.
-constexpr double inUseSmoothing = 0.2;
+constexpr milliseconds writeRetryDelay{300};
+// Weight of one sample in the exponentially weighted moving average. One sample is taken per tick,
+// so the last second makes up most of the average.
+constexpr double utilizationSmoothingWeight = 0.2;
 
 } // namespace
 
@@ -71,14 +72,14 @@
     const bool changed = directory != m_directory;
     m_directory = directory;
     m_confirmedAt = std::max(m_confirmedAt, confirmedAt);
-    const auto *placed = m_directory->findPlacement(m_service);
-    if (placed != nullptr) {
+    const auto *record = m_directory->findPlacement(m_service);
+    if (record != nullptr) {
         const std::lock_guard lock(m_mutex);
-        m_leaseManager.onPlacement(placed->placement, confirmedAt, bootNow());
+        m_leaseManager.onPlacement(record->placement, confirmedAt, bootNow());
     }
     if (changed) {
         renewGrants();
-        releaseSurplus();
+        releaseUnownedRanges();
     }
 }
 
@@ -92,17 +93,17 @@
     m_leaseManager.setUpstream(upstream);
 }
 
-void range_controller::setPeers(peers peers)
+void range_controller::setPeers(peer_view peers)
 {
     m_peers = std::move(peers);
 }
 
-void range_controller::setOwnQueue(const queue_report &queue)
+void range_controller::setLocalQueue(const queue_report &queue)
 {
     m_queue = queue;
-    const double inUse =
+    const double utilization =
         static_cast<double>(queue.running + queue.waiting) / std::max(queue.limit, 1);
-    m_inUse += (inUse - m_inUse) * inUseSmoothing;
+    m_utilization += (utilization - m_utilization) * utilizationSmoothingWeight;
 }
 
 bool range_controller::mayServe(shard_key key) const
@@ -118,13 +119,13 @@
         && (known->member.isTerminated || known->member.id.startedAt > id.startedAt);
 }
 
-bool range_controller::ownsNothing() const
+bool range_controller::ownsNoKeys() const
 {
-    const auto *placed = m_directory->findPlacement(m_service);
-    return !m_upstream || placed == nullptr || ownedKeys(placed->placement, *m_upstream) == 0;
+    const auto *record = m_directory->findPlacement(m_service);
+    return !m_upstream || record == nullptr || ownedKeys(record->placement, *m_upstream) == 0;
 }
 
-bool range_controller::holdsAll() const
+bool range_controller::holdsAllOwnedRanges() const
 {
     const std::lock_guard lock(m_mutex);
     return m_leaseManager.dueGrants(bootNow()).empty();
@@ -133,9 +134,9 @@
 std::vector<key_interval> range_controller::ownIntervals() const
 {
     std::vector<key_interval> own;
-    const auto *placed = m_directory->findPlacement(m_service);
-    if (placed != nullptr && m_upstream) {
-        for (const owned_range &range : placed->placement.ranges) {
+    const auto *record = m_directory->findPlacement(m_service);
+    if (record != nullptr && m_upstream) {
+        for (const owned_range &range : record->placement.ranges) {
             if (range.owner == *m_upstream && range.takeOverAfter.count() == 0) {
                 own.push_back(range.keys);
             }
@@ -147,22 +148,23 @@
 void range_controller::tick(steady_time now)
 {
     if (!m_upstream) {
-        // Another daemon, or the next life of the upstream, acts for keys that it had.
-        considerRecord();
+        // Another daemon, or the upstream's next incarnation, acts for the keys that the upstream
+        // owned.
+        proposePlacementChange();
         return;
     }
-    m_rates.advance(now);
+    m_rates.update(now);
     retryUnconfirmedMove(now);
     renewGrants();
-    releaseSurplus();
-    confirm();
-    considerRecord();
+    releaseUnownedRanges();
+    confirmPlacement();
+    proposePlacementChange();
     considerMove(now);
 }
 
 void range_controller::renewGrants()
 {
-    if (m_grantsPending || !m_upstream) {
+    if (m_areGrantsPending || !m_upstream) {
         return;
     }
     std::vector<range_grant> due;
@@ -174,9 +176,9 @@
         sendGrant(grant, m_timing.holdTime);
     }
     if (!due.empty()) {
-        m_grantsPending = true;
+        m_areGrantsPending = true;
         m_grantWorker->enqueue(
-            [this] { m_loop.post([this](steady_time) { m_grantsPending = false; }); });
+            [this] { m_loop.post([this](steady_time) { m_areGrantsPending = false; }); });
     }
 }
 
@@ -213,7 +215,7 @@
     });
 }
 
-void range_controller::extendHolds(milliseconds maxHold)
+void range_controller::extendGrants(milliseconds maxHold)
 {
     std::vector<range_grant> held;
     milliseconds holdTime{0};
@@ -230,9 +232,9 @@
     }
 }
 
-void range_controller::releaseSurplus()
+void range_controller::releaseUnownedRanges()
 {
-    if (m_moving || !m_upstream) {
+    if (m_isMoving || !m_upstream) {
         return;
     }
     std::vector<range_grant> due;
@@ -240,13 +242,13 @@
         const std::lock_guard lock(m_mutex);
         due = m_leaseManager.dueReleases();
         for (const range_grant &grant : due) {
-            // Released or not, it is no longer served from here.
+            // The keys are no longer served from here, whether or not the release succeeds.
             m_leaseManager.onReleased(grant.keys, grant.fence);
         }
     }
     for (const range_grant &grant : due) {
         logRange("release", grant.keys, grant.fence, "sent", "recorded for another owner");
-        afterGrants([this, grant, address = m_address] {
+        enqueueReleaseAfterGrants([this, grant, address = m_address] {
             const auto handover = m_grants.release(address, grant.keys, grant.fence);
             if (!handover.ok()) {
                 m_log.write(log_level::Warn,
@@ -256,35 +258,35 @@
     }
 }
 
-// Runs `release` on the release worker once the grants that were enqueued before have been sent
-// and answered.
-void range_controller::afterGrants(std::function<void()> release)
+// Runs `release` on the release worker after the grants that were enqueued before have been sent
+// and the upstream has responded to them.
+void range_controller::enqueueReleaseAfterGrants(std::function<void()> release)
 {
     m_grantWorker->enqueue([this, release = std::move(release)]() mutable {
         m_releaseWorker->enqueue(std::move(release));
     });
 }
 
-void range_controller::confirm()
+void range_controller::confirmPlacement()
 {
     const boot_time now = bootNow();
-    if (m_confirmPending || now - m_confirmedAt < confirmInterval
-        || now - m_confirmSentAt < confirmInterval / 4 || ownsNothing()) {
+    if (m_isConfirmationPending || now - m_confirmedAt < confirmInterval
+        || now - m_confirmationSentAt < confirmInterval / 4 || ownsNoKeys()) {
         return;
     }
-    m_confirmPending = true;
-    m_confirmSentAt = now;
+    m_isConfirmationPending = true;
+    m_confirmationSentAt = now;
     m_storeWorker->enqueue([this] {
         const boot_time sentAt = bootNow();
         auto object = m_store.get(placementKey(m_service));
         m_loop.post([this, sentAt, object = std::move(object)](steady_time) {
-            m_confirmPending = false;
+            m_isConfirmationPending = false;
             if (!object.ok()) {
                 return;
             }
             m_hooks.onObject(*object);
-            const auto *placed = m_directory->findPlacement(m_service);
-            if (placed != nullptr && placed->version == object->version) {
+            const auto *record = m_directory->findPlacement(m_service);
+            if (record != nullptr && record->version == object->version) {
                 m_confirmedAt = std::max(m_confirmedAt, sentAt);
                 const std::lock_guard lock(m_mutex);
                 m_leaseManager.onConfirmed(sentAt);
@@ -293,26 +295,27 @@
     });
 }
 
-void range_controller::write(placement_write change, std::function<void(write_result result)> done)
+void range_controller::writePlacement(placement_write change,
+                                      std::function<void(write_result result)> done)
 {
-    m_writePending = true;
+    m_isWritePending = true;
     m_storeWorker->enqueue([this, change = std::move(change), done = std::move(done)] {
         const std::string key = placementKey(m_service);
         const std::string value = encodePlacement(change.placement);
         const boot_time sentAt = bootNow();
         const auto version = m_store.put(key, change.expectedVersion, value);
-        // What the store holds: this change, or another writer's.
+        // What the store holds now: this change, or the change of another writer.
         const absl::StatusOr<stored_object> object = version.ok()
             ? absl::StatusOr<stored_object>(stored_object{key, *version, false, value})
             : m_store.get(key);
-        const write_result result = judgeWrite(version.status(), change, object);
+        const write_result result = classifyWrite(version.status(), change, object);
         const std::string status = version.status().ToString();
         m_loop.post([this, result, object, sentAt, status, reason = std::string(change.reason),
                      fence = change.placement.highestFence, done](steady_time now) {
-            m_writePending = false;
+            m_isWritePending = false;
             logRange("place", {}, fence, toString(result), absl::StrCat(reason, ",", status));
             if (result != write_result::Written) {
-                m_nextWriteAt = now + writeRetry;
+                m_nextWriteAt = now + writeRetryDelay;
             }
             if (object.ok()) {
                 m_hooks.onObject(*object);
@@ -324,17 +327,17 @@
     });
 }
 
-void range_controller::considerRecord()
+void range_controller::proposePlacementChange()
 {
     const steady_time now = std::chrono::steady_clock::now();
-    if (m_writePending || m_moving || now < m_nextWriteAt) {
+    if (m_isWritePending || m_isMoving || now < m_nextWriteAt) {
         return;
     }
-    const auto *placed = m_directory->findPlacement(m_service);
-    const uint64_t version = placed != nullptr ? placed->version : 0;
-    const key_placement current = placed != nullptr ? placed->placement : emptyPlacement(m_service);
+    const auto *record = m_directory->findPlacement(m_service);
+    const uint64_t version = record != nullptr ? record->version : 0;
+    const key_placement current = record != nullptr ? record->placement : emptyPlacement(m_service);
     const auto propose = [&](key_placement next, std::string_view reason) {
-        write({std::move(next), version, reason}, [](write_result) {});
+        writePlacement({std::move(next), version, reason}, [](write_result) {});
     };
     if (m_upstream) {
         const key_placement reclaimed = reclaimRanges(current, *m_upstream);
@@ -352,38 +355,38 @@
             return;
         }
     }
-    if (m_peers.live.size() != m_membersSeen) {
-        m_membersSeen = m_peers.live.size();
+    if (m_peers.live.size() != m_lastMemberCount) {
+        m_lastMemberCount = m_peers.live.size();
         m_membersStableSince = now;
     }
     if (!m_peers.isCoordinator || m_peers.live.empty() || !m_membersStableSince) {
         return;
     }
-    const bool hasUnowned =
+    const bool hasUnownedRange =
         std::any_of(current.ranges.begin(), current.ranges.end(),
                     [](const owned_range &range) { return range.owner.isEmpty(); });
-    if (hasUnowned) {
-        if (now - *m_membersStableSince >= settleTime) {
+    if (hasUnownedRange) {
+        if (now - *m_membersStableSince >= initialAssignmentDelay) {
             propose(assignUnowned(current, m_peers.live), "assign");
         }
         return;
     }
-    const key_placement withoutGone = reassignLost(
+    const key_placement withoutTerminated = reassignLost(
         current, [this](const upstream_id &id) { return isTerminated(id); }, m_peers.live,
         milliseconds(0));
-    if (withoutGone != current) {
-        propose(withoutGone, "owner-gone");
+    if (withoutTerminated != current) {
+        propose(withoutTerminated, "owner-gone");
         return;
     }
-    const key_placement withoutLost = reassignLost(
+    const key_placement withoutUnreachable = reassignLost(
         current,
         [this](const upstream_id &id) {
             return std::find(m_peers.unreachable.begin(), m_peers.unreachable.end(), id)
                 != m_peers.unreachable.end();
         },
         m_peers.live, m_timing.takeOverAfter());
-    if (withoutLost != current) {
-        propose(withoutLost, "owner-unreachable");
+    if (withoutUnreachable != current) {
+        propose(withoutUnreachable, "owner-unreachable");
     }
 }
 
--- a/src/persimmonrail/router/range_controller.h
+++ b/src/persimmonrail/router/range_controller.h
@@ -19,12 +19,12 @@
 
 namespace persimmonrail {
 
-// Time since boot, which counts suspended time too.
+// Returns the time since boot, including the time that the host was suspended.
 boot_time bootNow();
 
-// Keeps the key ranges of the upstream on this host: grants, renewals, releases and changes of the
-// recorded owners. Runs on the control thread, except for mayServe() and countKey(), which are
-// thread safe. Calls that block run on workers.
+// Controls the key ranges of the local upstream: grants, renewals, releases and changes of the
+// recorded owners. All functions must be called on the control thread, except for mayServe() and
+// countKey(), which are thread safe. Blocking calls run on workers.
 class range_controller
 {
 public:
@@ -33,59 +33,67 @@
         // Applies an object that was written or read to the directory.
         std::function<void(const stored_object &object)> onObject;
     };
-    // The references must outlive the keeper.
+    // The referenced objects must outlive the controller.
     range_controller(std::string service, range_lease_timing timing, object_api store,
                      grant_api grants, control_loop &loop, decision_log &log, hooks hooks);
     ~range_controller();
 
-    // `confirmedAt`: when the store certainly held this.
+    // Applies a new directory. The store certainly held this content at `confirmedAt`.
     void onDirectory(const std::shared_ptr<const fleet_directory> &directory,
                      boot_time confirmedAt);
+    // Sets the local upstream; nullopt while there is none.
     void setUpstream(const std::optional<upstream_id> &upstream, const std::string &address,
                      bool isDraining);
-    // Upstreams of the service that certainly hold no key any more, or can't be reached.
-    struct peers
+    // What this daemon knows of the upstreams of its service: the live ones that accept keys, with
+    // the local one; the loads that peers reported; and the ones that can't be reached.
+    struct peer_view
     {
         std::vector<range_candidate> live;
         std::vector<owner_load> loads;
         std::vector<upstream_id> unreachable;
-        // Whether this daemon is the first of the live ones, which acts for lost owners.
+        // Whether this daemon is the first of the reachable ones by id, which reassigns the keys of
+        // lost owners.
         bool isCoordinator = false;
     };
-    void setPeers(peers peers);
-    // The queue in front of the upstream.
-    void setOwnQueue(const queue_report &queue);
+    void setPeers(peer_view peers);
+    // Sets the current state of the queue in front of the local upstream.
+    void setLocalQueue(const queue_report &queue);
 
-    // Acts on what is due; to be called about every 100 ms.
+    // Performs all actions that are due. Must be called about every 100 ms.
     void tick(steady_time now);
 
+    // Whether the local upstream may serve requests for this key now.
     bool mayServe(shard_key key) const;
+    // Counts one request for this key, for the rates from which moves are chosen.
     void countKey(shard_key key) { m_rates.count(key); }
-    bool isIdle() const { return !m_moving; }
-    // Whether the upstream holds no key and is recorded for none.
-    bool ownsNothing() const;
-    // Whether the recorded ranges of the upstream are all in force.
-    bool holdsAll() const;
-    // Renews all grants for as long as is safe, at most `maxHold`, so that the keys stay held over
-    // a restart of the daemon.
-    void extendHolds(milliseconds maxHold);
+    bool isIdle() const { return !m_isMoving; }
+    // Whether no key is recorded for the upstream.
+    bool ownsNoKeys() const;
+    // Whether a grant is in force for every range recorded for the upstream, and none is due for
+    // renewal.
+    bool holdsAllOwnedRanges() const;
+    // Renews all grants for as long as is safe, at most `maxHold`, so that the upstream keeps the
+    // keys during a restart of the daemon.
+    void extendGrants(milliseconds maxHold);
 
 private:
     void renewGrants();
     void sendGrant(const range_grant &grant, milliseconds holdTime);
-    void releaseSurplus();
-    void afterGrants(std::function<void()> release);
-    void considerRecord();
+    void releaseUnownedRanges();
+    void enqueueReleaseAfterGrants(std::function<void()> release);
+    void proposePlacementChange();
     void considerMove(steady_time now);
     void startMove(std::vector<planned_move> moves, std::string_view reason);
-    // `tries`: writes that may follow if other writers change the record in between.
-    void finishMove(const std::vector<released_range> &moved, int tries);
+    // `retriesLeft` is the number of further writes allowed if other writers change the record
+    // first.
+    void finishMove(const std::vector<released_range> &releasedRanges, int retriesLeft);
     void endMove();
     owner_load ownLoad() const;
-    void write(placement_write change, std::function<void(write_result result)> done);
-    void onMoveWritten(const std::vector<released_range> &moved, int tries, write_result result);
+    void writePlacement(placement_write change, std::function<void(write_result result)> done);
+    void onMoveWritten(const std::vector<released_range> &releasedRanges, int retriesLeft,
+                       write_result result);
     void retryUnconfirmedMove(steady_time now);
-    void confirm();
+    void confirmPlacement();
     std::vector<key_interval> ownIntervals() const;
     bool isTerminated(const upstream_id &id) const;
     void logRange(std::string_view kind, key_interval keys, uint64_t fence,
@@ -98,7 +106,7 @@
     control_loop &m_loop;
     decision_log &m_log;
     const hooks m_hooks;
-    // Guards m_leaseManager, which traffic threads ask.
+    // Guards m_leaseManager, which traffic threads read through mayServe().
     mutable std::mutex m_mutex;
     range_lease_manager m_leaseManager;
     key_rates m_rates;
@@ -106,29 +114,31 @@
     std::optional<upstream_id> m_upstream;
     std::string m_address;
     bool m_isDraining = false;
-    peers m_peers;
+    peer_view m_peers;
     queue_report m_queue;
-    // Requests that run or wait per slot, smoothed.
-    double m_inUse = 0;
-    bool m_writePending = false;
-    bool m_moving = false;
-    bool m_confirmPending = false;
-    bool m_grantsPending = false;
+    // Exponentially weighted moving average of running and waiting requests per slot.
+    double m_utilization = 0;
+    bool m_isWritePending = false;
+    // Whether the release or the write of a move is in progress.
+    bool m_isMoving = false;
+    bool m_isConfirmationPending = false;
+    bool m_areGrantsPending = false;
     boot_time m_confirmedAt{};
-    boot_time m_confirmSentAt{};
+    boot_time m_confirmationSentAt{};
     steady_time m_nextWriteAt{};
     // When the last move ended.
-    steady_time m_movedAt{};
+    steady_time m_lastMoveEndedAt{};
     std::optional<steady_time> m_membersStableSince;
-    size_t m_membersSeen = 0;
-    // Released ranges whose record may or may not be written.
+    size_t m_lastMemberCount = 0;
+    // Released ranges for which the write of the new owner is unconfirmed.
     struct unconfirmed_move
     {
-        std::vector<released_range> moved;
-        steady_time until;
+        std::vector<released_range> releasedRanges;
+        steady_time expiresAt;
     };
     std::optional<unconfirmed_move> m_unconfirmedMove;
-    // Declared last: their threads use the members above until they have ended.
+    // Declared last, because the workers' threads use the members above until the threads have
+    // ended.
     std::unique_ptr<background_worker> m_releaseWorker;
     std::unique_ptr<background_worker> m_grantWorker;
     std::unique_ptr<background_worker> m_storeWorker;
--- a/src/persimmonrail/router/range_controller_moves.cpp
+++ b/src/persimmonrail/router/range_controller_moves.cpp
@@ -1,4 +1,5 @@
-// How an owner gives keys away: choosing them, releasing them, and writing the new owners.
+// Moves of key ranges to other owners: choosing the keys, releasing them, and writing the new
+// owners.
 #include "persimmonrail/base/text.h"
 #include "persimmonrail/router/range_controller.h"
 
@@ -9,29 +10,32 @@
 namespace persimmonrail {
 namespace {
 
-// Keys are released only if the store answered this lately, since the move has to be written.
-constexpr milliseconds storeFreshness{3000};
-// Between two moves, so that the loads reported after the first one count for the second.
+// Keys are released only if the store responded within this time, since the move must be written to
+// the store.
+constexpr milliseconds maxConfirmationAge{3000};
+// Minimum interval between two moves, so that the second move takes account of the loads reported
+// after the first.
 constexpr milliseconds moveInterval{1000};
-// The same for an owner that can serve what is asked of it: its keys pause while they move.
-constexpr milliseconds calmMoveInterval{4000};
-constexpr double overload = 1.0;
-// Owners of one service write the same record, and the loser of a race writes again at once.
+// Replaces moveInterval for an owner that can serve its load, since requests for keys wait while
+// the keys move.
+constexpr milliseconds nonOverloadedMoveInterval{4000};
+constexpr double overloadUtilization = 1.0;
+// Owners of one service write the same record, and the loser of a race retries at once.
 constexpr int maxMoveRetries = 4;
-// A write without an answer may take effect some seconds later. Released keys stay unserved so
-// long, or until a further write decides which of them the record shows.
-constexpr milliseconds maxOpenWrite{7000};
+// A write without a response may take effect some seconds later. The released keys stay unserved
+// for this long, or until a further write settles which owner the record shows.
+constexpr milliseconds unconfirmedWriteTimeout{7000};
 
 } // namespace
 
 void range_controller::considerMove(steady_time now)
 {
-    if (m_moving || m_writePending || (!m_isDraining && now - m_movedAt < moveInterval)
-        || m_peers.live.empty() || bootNow() - m_confirmedAt > storeFreshness) {
+    if (m_isMoving || m_isWritePending || (!m_isDraining && now - m_lastMoveEndedAt < moveInterval)
+        || m_peers.live.empty() || bootNow() - m_confirmedAt > maxConfirmationAge) {
         return;
     }
-    const auto *placed = m_directory->findPlacement(m_service);
-    if (placed == nullptr) {
+    const auto *record = m_directory->findPlacement(m_service);
+    if (record == nullptr) {
         return;
     }
     std::vector<range_candidate> others;
@@ -45,9 +49,9 @@
     }
     if (m_isDraining) {
         std::vector<planned_move> moves;
-        size_t turn = 0;
+        size_t nextOther = 0;
         for (const key_interval &keys : ownIntervals()) {
-            moves.push_back({keys, others[turn++ % others.size()].id});
+            moves.push_back({keys, others[nextOther++ % others.size()].id});
         }
         if (moves.size() == 1 && others.size() > 1 && moves[0].keys.count() > 1) {
             const shard_key middle = moves[0].keys.first + moves[0].keys.count() / 2;
@@ -59,13 +63,14 @@
         }
         return;
     }
-    const auto share = chooseShareForNewcomer(placed->placement, *m_upstream, m_peers.live);
+    const auto share = chooseShareForNewcomer(record->placement, *m_upstream, m_peers.live);
     if (share) {
         startMove({*share}, "newcomer");
         return;
     }
     const owner_load load = ownLoad();
-    if (load.utilization < overload && now - m_movedAt < calmMoveInterval) {
+    if (load.utilization < overloadUtilization
+        && now - m_lastMoveEndedAt < nonOverloadedMoveInterval) {
         return;
     }
     auto moves = chooseMoves(
@@ -75,19 +80,20 @@
     }
 }
 
-// A full queue refuses what it can't serve, so its length alone hides how much is asked of it.
+// A full queue rejects the requests that it can't hold, so the queue's length alone understates the
+// load.
 owner_load range_controller::ownLoad() const
 {
-    double asked = 0;
+    double requestsPerSecond = 0;
     for (const key_interval &keys : ownIntervals()) {
         for (shard_key key = keys.first; key <= keys.last; ++key) {
-            asked += m_rates.rate(key);
+            requestsPerSecond += m_rates.rate(key);
         }
     }
     const int slots = std::max(m_queue.limit, 1);
-    const double offered =
-        asked * std::chrono::duration<double>(m_queue.meanServiceTime).count() / slots;
-    return {*m_upstream, slots, std::max(offered, m_inUse), m_queue.meanServiceTime};
+    const double offeredLoad =
+        requestsPerSecond * std::chrono::duration<double>(m_queue.meanServiceTime).count() / slots;
+    return {*m_upstream, slots, std::max(offeredLoad, m_utilization), m_queue.meanServiceTime};
 }
 
 void range_controller::startMove(std::vector<planned_move> moves, std::string_view reason)
@@ -101,52 +107,53 @@
     if (moves.empty()) {
         return;
     }
-    m_moving = true;
+    m_isMoving = true;
     std::vector<key_interval> intervals;
     for (const planned_move &move : moves) {
         intervals.push_back(move.keys);
         logRange("give", move.keys, 0, "begun",
                  absl::StrCat(toAbsl(reason), ",to:", move.target.name));
     }
-    std::vector<release_order> orders;
+    std::vector<release_request> requests;
     {
         const std::lock_guard lock(m_mutex);
         m_leaseManager.setMoving(intervals);
         for (const planned_move &move : moves) {
             for (const range_grant &grant : m_leaseManager.heldWithin(move.keys)) {
-                orders.push_back({grant, move.target});
+                requests.push_back({grant, move.target});
             }
         }
     }
-    // A grant of these keys may be on its way; it must not arrive after the release.
-    afterGrants([this, orders = std::move(orders), address = m_address]() mutable {
-        {
-            const std::lock_guard lock(m_mutex);
-            std::erase_if(orders, [this](const release_order &order) {
-                return !m_leaseManager.canMove(order.grant.keys, bootNow());
-            });
-        }
-        release_outcome outcome = releaseAll(m_grants, address, orders);
-        for (const absl::Status &failure : outcome.failures) {
-            m_log.write(log_level::Warn, absl::StrCat("release failed: ", failure.ToString()));
-        }
-        m_loop.post([this, released = std::move(outcome.released)](steady_time) {
+    // A grant of these keys may be in flight; it must not reach the upstream after the release.
+    enqueueReleaseAfterGrants(
+        [this, requests = std::move(requests), address = m_address]() mutable {
             {
                 const std::lock_guard lock(m_mutex);
-                for (const released_range &range : released) {
-                    m_leaseManager.onReleased(range.grant.keys, range.grant.fence);
-                }
+                std::erase_if(requests, [this](const release_request &request) {
+                    return !m_leaseManager.canMove(request.grant.keys, bootNow());
+                });
             }
-            finishMove(released, maxMoveRetries);
+            release_outcome outcome = releaseAll(m_grants, address, requests);
+            for (const absl::Status &failure : outcome.failures) {
+                m_log.write(log_level::Warn, absl::StrCat("release failed: ", failure.ToString()));
+            }
+            m_loop.post([this, released = std::move(outcome.released)](steady_time) {
+                {
+                    const std::lock_guard lock(m_mutex);
+                    for (const released_range &range : released) {
+                        m_leaseManager.onReleased(range.grant.keys, range.grant.fence);
+                    }
+                }
+                finishMove(released, maxMoveRetries);
+            });
         });
-    });
 }
 
 void range_controller::endMove()
 {
-    m_moving = false;
+    m_isMoving = false;
     m_unconfirmedMove.reset();
-    m_movedAt = std::chrono::steady_clock::now();
+    m_lastMoveEndedAt = std::chrono::steady_clock::now();
     {
         const std::lock_guard lock(m_mutex);
         m_leaseManager.setMoving({});
@@ -154,60 +161,65 @@
     renewGrants();
 }
 
-void range_controller::finishMove(const std::vector<released_range> &moved, int tries)
+void range_controller::finishMove(const std::vector<released_range> &releasedRanges,
+                                  int retriesLeft)
 {
-    const auto *placed = m_directory->findPlacement(m_service);
-    if (placed == nullptr || moved.empty()) {
+    const auto *record = m_directory->findPlacement(m_service);
+    if (record == nullptr || releasedRanges.empty()) {
         endMove();
         return;
     }
-    key_placement next = placed->placement;
-    for (const released_range &part : moved) {
-        const key_interval keys = part.grant.keys;
+    key_placement next = record->placement;
+    for (const released_range &released : releasedRanges) {
+        const key_interval keys = released.grant.keys;
         const owned_range range = next.rangeOf(keys.first);
         // The record may have changed while the release ran.
         if (m_upstream && range.owner == *m_upstream && range.keys.contains(keys.last)) {
-            next = moveRange(std::move(next), keys, part.target, part.handover);
+            next = moveRange(std::move(next), keys, released.newOwner, released.handover);
         }
     }
-    if (next == placed->placement) {
+    if (next == record->placement) {
         endMove();
         return;
     }
-    write({std::move(next), placed->version, "give"},
-          [this, moved, tries](write_result result) { onMoveWritten(moved, tries, result); });
+    writePlacement({std::move(next), record->version, "give"},
+                   [this, releasedRanges, retriesLeft](write_result result) {
+                       onMoveWritten(releasedRanges, retriesLeft, result);
+                   });
 }
 
-void range_controller::onMoveWritten(const std::vector<released_range> &moved, int tries,
-                                     write_result result)
+void range_controller::onMoveWritten(const std::vector<released_range> &releasedRanges,
+                                     int retriesLeft, write_result result)
 {
-    if (result == write_result::Lost && tries > 0) {
-        // The released keys still have to go to their new owners.
+    if (result == write_result::Superseded && retriesLeft > 0) {
+        // The released keys must still be recorded for their new owners.
         m_unconfirmedMove.reset();
-        finishMove(moved, tries - 1);
+        finishMove(releasedRanges, retriesLeft - 1);
         return;
     }
-    if (result == write_result::Open && !m_unconfirmedMove) {
-        m_unconfirmedMove = {moved, std::chrono::steady_clock::now() + maxOpenWrite};
+    if (result == write_result::Unconfirmed && !m_unconfirmedMove) {
+        m_unconfirmedMove = {releasedRanges,
+                             std::chrono::steady_clock::now() + unconfirmedWriteTimeout};
     }
-    const bool isDecided = result == write_result::Written || result == write_result::Lost;
-    if (!m_unconfirmedMove || isDecided) {
+    const bool isOutcomeKnown =
+        result == write_result::Written || result == write_result::Superseded;
+    if (!m_unconfirmedMove || isOutcomeKnown) {
         endMove();
     }
 }
 
-// Writes again what may have been written: the first of these writes that takes effect makes the
-// others fail, since all expect the same version.
+// Repeats an unconfirmed write. The first of these writes that takes effect makes the others fail,
+// since all expect the same version.
 void range_controller::retryUnconfirmedMove(steady_time now)
 {
-    if (!m_unconfirmedMove || m_writePending || now < m_nextWriteAt) {
+    if (!m_unconfirmedMove || m_isWritePending || now < m_nextWriteAt) {
         return;
     }
-    if (now >= m_unconfirmedMove->until) {
+    if (now >= m_unconfirmedMove->expiresAt) {
         endMove();
         return;
     }
-    finishMove(std::vector(m_unconfirmedMove->moved), maxMoveRetries);
+    finishMove(std::vector(m_unconfirmedMove->releasedRanges), maxMoveRetries);
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/router/range_release.cpp
+++ b/src/persimmonrail/router/range_release.cpp
@@ -7,36 +7,36 @@
 namespace persimmonrail {
 namespace {
 
-// Releases that wait at the same time; each holds a thread and a connection to the upstream.
-constexpr size_t maxAtOnce = 8;
+// Releases that wait at the same time; each uses a thread and a connection to the upstream.
+constexpr size_t maxConcurrentReleases = 8;
 
 } // namespace
 
 release_outcome releaseAll(const grant_api &grants, const std::string &address,
-                           const std::vector<release_order> &orders)
+                           const std::vector<release_request> &requests)
 {
-    std::vector<absl::StatusOr<std::string>> handovers(orders.size());
+    std::vector<absl::StatusOr<std::string>> handovers(requests.size());
     std::atomic<size_t> next{0};
-    const auto work = [&] {
-        for (size_t i = next++; i < orders.size(); i = next++) {
-            handovers[i] = grants.release(address, orders[i].grant.keys, orders[i].grant.fence);
+    const auto releaseRemaining = [&] {
+        for (size_t i = next++; i < requests.size(); i = next++) {
+            handovers[i] = grants.release(address, requests[i].grant.keys, requests[i].grant.fence);
         }
     };
-    std::vector<std::thread> helpers;
-    for (size_t i = 1; i < std::min(maxAtOnce, orders.size()); ++i) {
-        helpers.emplace_back(work);
+    std::vector<std::thread> threads;
+    for (size_t i = 1; i < std::min(maxConcurrentReleases, requests.size()); ++i) {
+        threads.emplace_back(releaseRemaining);
     }
-    work();
-    for (std::thread &helper : helpers) {
-        helper.join();
+    releaseRemaining();
+    for (std::thread &thread : threads) {
+        thread.join();
     }
     release_outcome outcome;
-    for (size_t i = 0; i < orders.size(); ++i) {
+    for (size_t i = 0; i < requests.size(); ++i) {
         const absl::Status status = handovers[i].status();
-        // A process that is gone holds nothing.
+        // No process listens there, so the upstream has ended and holds no keys.
         if (status.ok() || absl::IsFailedPrecondition(status)) {
-            outcome.released.push_back(
-                {orders[i].grant, orders[i].target, status.ok() ? *handovers[i] : std::string()});
+            outcome.released.push_back({requests[i].grant, requests[i].newOwner,
+                                        status.ok() ? *handovers[i] : std::string()});
         } else {
             outcome.failures.push_back(status);
         }
--- a/src/persimmonrail/router/range_release.h
+++ b/src/persimmonrail/router/range_release.h
@@ -7,31 +7,31 @@
 
 namespace persimmonrail {
 
-// A grant that is to be released, and the upstream that gets its keys then.
-struct release_order
+// A grant to release, and the upstream that owns its keys next.
+struct release_request
 {
     range_grant grant;
-    upstream_id target;
+    upstream_id newOwner;
 };
 
 struct released_range
 {
     range_grant grant;
-    upstream_id target;
-    // Empty if the upstream gave none, since its process is gone.
+    upstream_id newOwner;
+    // Empty if the upstream's process had ended and so returned no handover.
     std::string handover;
 };
 
 struct release_outcome
 {
     std::vector<released_range> released;
-    // Of the releases that may not have happened.
+    // Errors of the releases that may not have taken effect.
     std::vector<absl::Status> failures;
 };
 
-// Releases grants at one upstream. Each release waits for the work that runs on its keys, so they
-// run at the same time, and the whole takes as long as the longest of them. Blocks.
+// Releases grants at one upstream. Each release waits for the running requests on its keys, so
+// releases run concurrently, and the call takes as long as the longest of them. Blocks.
 release_outcome releaseAll(const grant_api &grants, const std::string &address,
-                           const std::vector<release_order> &orders);
+                           const std::vector<release_request> &requests);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/router/router.h
+++ b/src/persimmonrail/router/router.h
@@ -15,48 +15,49 @@
 
 namespace persimmonrail {
 
-// What an upstream told the daemon beside it.
+// Message from an upstream to the daemon beside it.
 struct upstream_message
 {
     upstream_report report;
-    // The upstream leaves and sends no further reports; only report.id is set.
+    // The upstream departs and sends no further reports; only report.id is set.
     bool isDeparture = false;
 };
 
-// Calls to an upstream about the key ranges that it holds. Errors: Aborted if it knows a higher
-// fence, FailedPrecondition if no process listens there, Unavailable or Unknown otherwise.
+// Calls to an upstream about the key ranges that it holds. Errors: Aborted if the upstream knows a
+// higher fence, FailedPrecondition if no process listens at the address, Unavailable or Unknown
+// otherwise.
 struct grant_api
 {
     std::function<absl::Status(const std::string &address, const range_grant &grant,
                                milliseconds holdTime)>
         grant;
-    // Returns the handover; waits until the work that runs on the keys has ended.
+    // Waits until the running requests on the keys have ended, and returns the handover.
     std::function<absl::StatusOr<std::string>(const std::string &address, key_interval keys,
                                               uint64_t fence)>
         release;
 };
 
-// How the router meets the platform on which it runs. Hooks block and are thread safe.
+// Interface to the platform on which the router runs. Hooks block and are thread safe.
 struct router_platform
 {
-    // `storeAddress` is called by the transport at each new connection, so that a reload counts.
+    // The platform's object store.
     object_api store;
     exchange_codec codec;
     grant_api grants;
-    // Prefix that holds the operators' desired state, and the key of the object in it.
+    // Prefix that holds the operators' desired state, and the key of the object under the prefix.
     std::string desiredStatePrefix;
     std::string desiredStateKey;
-    // Longest time that one watch of the store waits; the end of a router may take as long.
+    // Bounds the wait of one watch of the store. The destruction of a router may take as long.
     milliseconds watchWait{20000};
     // Errors: InvalidArgument.
     std::function<absl::StatusOr<std::shared_ptr<const route_table>>(std::string_view value)>
         parseDesiredState;
-    // Reads a request to the report address. Errors: InvalidArgument.
+    // Parses a request to the report address. Errors: InvalidArgument.
     std::function<absl::StatusOr<upstream_message>(const std::string &uri, std::string_view body)>
         parseReport;
 };
 
-// One running router daemon. Thread safe.
+// A running router daemon. Thread safe.
 class router
 {
 public:
@@ -67,9 +68,11 @@
     router &operator=(const router &) = delete;
     ~router();
 
-    // Takes new settings; those that need a restart keep their old value and are logged.
+    // Compares new settings with the current ones and logs whether the change needs a restart. No
+    // setting changes while the router runs.
     void reload(const router_settings &settings);
-    // Graceful shutdown: takes no new work, ends what runs, within the grace period.
+    // Shuts down gracefully within the grace period: stops accepting requests and waits for the
+    // running ones.
     void stop();
 
 private:
--- a/src/persimmonrail/router/router_settings.cpp
+++ b/src/persimmonrail/router/router_settings.cpp
@@ -23,7 +23,7 @@
     setter set;
 };
 
-setter text(std::string router_settings::*member)
+setter textSetter(std::string router_settings::*member)
 {
     return [member](router_settings &settings, const std::string &value) {
         settings.*member = value;
@@ -31,7 +31,7 @@
     };
 }
 
-setter address(std::string router_settings::*member)
+setter addressSetter(std::string router_settings::*member)
 {
     return [member](router_settings &settings, const std::string &value) {
         settings.*member = value;
@@ -39,7 +39,7 @@
     };
 }
 
-setter duration(milliseconds router_settings::*member)
+setter durationSetter(milliseconds router_settings::*member)
 {
     return [member](router_settings &settings, const std::string &value) {
         double number = 0;
@@ -61,7 +61,7 @@
     };
 }
 
-setter count(int router_settings::*member)
+setter countSetter(int router_settings::*member)
 {
     return [member](router_settings &settings, const std::string &value) {
         double number = 0;
@@ -73,13 +73,13 @@
     };
 }
 
-bool setRatio(router_settings &settings, const std::string &value)
+bool setRetryRatio(router_settings &settings, const std::string &value)
 {
     return absl::SimpleAtod(value, &settings.retryRatio) && settings.retryRatio >= 0
         && settings.retryRatio <= 1;
 }
 
-setter quantity(double router_settings::*member)
+setter quantitySetter(double router_settings::*member)
 {
     return [member](router_settings &settings, const std::string &value) {
         double number = 0;
@@ -109,42 +109,44 @@
 {
     using s = router_settings;
     static const std::vector<setting> settings = {
-        {"host-name", "name of this host", true, text(&s::hostName)},
-        {"availability-zone", "availability zone of this host", true, text(&s::availabilityZone)},
-        {"service", "service of the upstream on this host", true, text(&s::service)},
+        {"host-name", "name of this host", true, textSetter(&s::hostName)},
+        {"availability-zone", "availability zone of this host", true,
+         textSetter(&s::availabilityZone)},
+        {"service", "service of the upstream on this host", true, textSetter(&s::service)},
         {"caller-address", "ip:port for requests of callers on this host", true,
-         address(&s::callerAddress)},
-        {"peer-address", "ip:port for other daemons", true, address(&s::peerAddress)},
-        {"ready-address", "ip:port that tells whether the daemon takes requests", true,
-         address(&s::readyAddress)},
-        {"report-address", "ip:port for reports of the upstream", true, address(&s::reportAddress)},
+         addressSetter(&s::callerAddress)},
+        {"peer-address", "ip:port for other daemons", true, addressSetter(&s::peerAddress)},
+        {"ready-address", "ip:port for readiness checks", true, addressSetter(&s::readyAddress)},
+        {"report-address", "ip:port for reports of the upstream", true,
+         addressSetter(&s::reportAddress)},
         {"metrics-address", "ip:port for metrics; none if absent", false,
-         address(&s::metricsAddress)},
-        {"store-address", "ip:port of the object store", true, address(&s::storeAddress)},
+         addressSetter(&s::metricsAddress)},
+        {"store-address", "ip:port of the object store", true, addressSetter(&s::storeAddress)},
         {"upstream-address", "ip:port of the upstream on this host", true,
-         address(&s::upstreamAddress)},
+         addressSetter(&s::upstreamAddress)},
         {"report-interval", "time between two reports of the upstream, such as 870ms", false,
-         duration(&s::reportInterval)},
-        {"max-hold", "longest hold time that upstreams accept", false, duration(&s::maxHold)},
-        {"drain-timeout", "how long a leaving upstream may get work", false,
-         duration(&s::drainTimeout)},
-        {"grace-period", "time between the stop signal and the forced end", false,
-         duration(&s::gracePeriod)},
-        {"retry-ratio", "share of requests that may be repeated, all daemons together", false,
-         setRatio},
-        {"retry-slack", "repeats allowed within the window besides that share", false,
-         count(&s::retrySlack)},
-        {"retry-window", "window of both", false, duration(&s::retryWindow)},
-        {"link-mbps", "what the link of this host carries, in Mbit/s", false,
-         quantity(&s::linkMbps)},
-        {"processor-share", "part of a processor that this daemon may use", false,
-         quantity(&s::processorShare)},
-        {"processor-speed", "speed of that processor, as a multiple of the usual one", false,
-         quantity(&s::processorSpeed)},
-        {"max-caller-connections", "connections of callers", false,
-         count(&s::maxCallerConnections)},
-        {"max-peer-connections", "connections of other daemons", false,
-         count(&s::maxPeerConnections)},
+         durationSetter(&s::reportInterval)},
+        {"max-hold", "longest hold time that upstreams accept", false, durationSetter(&s::maxHold)},
+        {"drain-timeout", "how long a draining upstream may receive requests", false,
+         durationSetter(&s::drainTimeout)},
+        {"grace-period", "time from the stop signal until the process is ended by force", false,
+         durationSetter(&s::gracePeriod)},
+        {"retry-ratio", "share of requests that all daemons together may retry", false,
+         setRetryRatio},
+        {"retry-slack", "retries allowed within the window in addition to that share", false,
+         countSetter(&s::retrySlack)},
+        {"retry-window", "window for retry-ratio and retry-slack", false,
+         durationSetter(&s::retryWindow)},
+        {"link-mbps", "bandwidth of this host's link, in Mbit/s", false,
+         quantitySetter(&s::linkMbps)},
+        {"processor-share", "share of a processor that this daemon may use", false,
+         quantitySetter(&s::processorShare)},
+        {"processor-speed", "speed of that processor, as a multiple of the usual speed", false,
+         quantitySetter(&s::processorSpeed)},
+        {"max-caller-connections", "maximum number of connections from callers", false,
+         countSetter(&s::maxCallerConnections)},
+        {"max-peer-connections", "maximum number of connections from other daemons", false,
+         countSetter(&s::maxPeerConnections)},
         {"log-level", "debug, info, warn, error or off", false, setLevel},
     };
     return settings;
@@ -155,9 +157,9 @@
 absl::StatusOr<router_settings> parseRouterSettings(std::string_view text)
 {
     std::map<std::string, std::string> values;
-    std::string faults;
-    const auto fault = [&faults](absl::string_view name, absl::string_view what) {
-        absl::StrAppend(&faults, faults.empty() ? "" : "; ", name, ": ", what);
+    std::string errors;
+    const auto addError = [&errors](absl::string_view name, absl::string_view what) {
+        absl::StrAppend(&errors, errors.empty() ? "" : "; ", name, ": ", what);
     };
     for (absl::string_view line : absl::StrSplit(toAbsl(text), '\n')) {
         line = absl::StripAsciiWhitespace(line);
@@ -168,7 +170,7 @@
             absl::StrSplit(line, absl::MaxSplits('=', 1));
         const std::string name(absl::StripAsciiWhitespace(parts.first));
         if (!values.emplace(name, std::string(absl::StripAsciiWhitespace(parts.second))).second) {
-            fault(name, "given twice");
+            addError(name, "given twice");
         }
     }
     router_settings settings;
@@ -176,20 +178,20 @@
         const auto value = values.find(known.name);
         if (value == values.end() || value->second.empty()) {
             if (known.isRequired) {
-                fault(known.name, "missing");
+                addError(known.name, "missing");
             }
         } else if (!known.set(settings, value->second)) {
-            fault(known.name, absl::StrCat("invalid value '", value->second, "'"));
+            addError(known.name, absl::StrCat("invalid value '", value->second, "'"));
         }
         if (value != values.end()) {
             values.erase(value);
         }
     }
     for (const auto &[name, value] : values) {
-        fault(name, "unknown setting");
+        addError(name, "unknown setting");
     }
-    if (!faults.empty()) {
-        return absl::InvalidArgumentError(faults);
+    if (!errors.empty()) {
+        return absl::InvalidArgumentError(errors);
     }
     return settings;
 }
--- a/src/persimmonrail/router/router_settings.h
+++ b/src/persimmonrail/router/router_settings.h
@@ -18,7 +18,7 @@
     std::string availabilityZone;
     // Service of the upstream on this host.
     std::string service;
-    // "ip:port" each.
+    // The addresses have the form "ip:port".
     std::string callerAddress;
     std::string peerAddress;
     std::string readyAddress;
@@ -26,23 +26,24 @@
     std::string metricsAddress;
     std::string storeAddress;
     std::string upstreamAddress;
-    // Time between two reports of the upstream.
+    // Interval between two reports of the upstream.
     milliseconds reportInterval{1000};
     // Longest hold time that upstreams accept.
     milliseconds maxHold{10000};
-    // Longest time for which a leaving upstream may get work after its leaving was acknowledged.
+    // Bounds how long a draining upstream may receive requests after its departure was
+    // acknowledged.
     milliseconds drainTimeout{2000};
-    // Time between the stop signal and the end of the process, by force.
+    // Time from the stop signal until the process is ended by force.
     milliseconds gracePeriod{6000};
-    // All daemons together may repeat this share of a service's requests within the window, and
-    // this many more.
+    // All daemons together may retry this share of a service's requests within the window, plus
+    // `retrySlack` requests.
     double retryRatio = 0.2;
     int retrySlack = 0;
     milliseconds retryWindow{10000};
-    // What the link of this host carries, in 10^6 bits a second; 0 if unknown.
+    // Bandwidth of this host's link, in 10^6 bits per second; 0 if unknown.
     double linkMbps = 0;
-    // Part of a processor that this daemon may use, and the speed of that processor as a multiple
-    // of the usual one; 0 if unknown.
+    // Share of a processor that this daemon may use (0 if unknown), and the speed of the processor
+    // as a multiple of the usual processor's speed.
     double processorShare = 0;
     double processorSpeed = 1;
     int maxCallerConnections = 512;
@@ -50,10 +51,10 @@
     log_level level = log_level::Info;
 };
 
-// Reads "name = value" lines; empty lines and those that begin with # are skipped. Names are those
-// of routerHelp(). Errors: InvalidArgument with all faults.
+// Parses "name = value" lines; skips empty lines and lines that begin with #. routerHelp() lists
+// the names. Errors: InvalidArgument with all errors found.
 absl::StatusOr<router_settings> parseRouterSettings(std::string_view text);
-// One line per setting.
+// Returns one line of help per setting.
 std::string routerHelp();
 
 } // namespace persimmonrail
--- a/src/persimmonrail/router/router_state.cpp
+++ b/src/persimmonrail/router/router_state.cpp
@@ -11,22 +11,24 @@
 namespace persimmonrail {
 namespace {
 
-// Several lines for each of the few hundred requests a second that a daemon takes at most.
-constexpr uint64_t logLinesPerSecond = 500;
-constexpr milliseconds rangeInterval{100};
+// Allows several lines for each request; a daemon serves at most a few hundred requests a second.
+constexpr uint64_t maxLogLinesPerSecond = 500;
+constexpr milliseconds rangeTickInterval{100};
 constexpr milliseconds upstreamCheckInterval{250};
-// Callers notice within two checks of readiness, a second apart, that a daemon stops.
-constexpr milliseconds callersLeaveTime{2200};
-// Left of the grace period for the end of the process itself.
-constexpr milliseconds exitReserve{700};
-constexpr milliseconds stopPoll{20};
-// A caller's connection outlives the idle time of the desired state, so that the caller closes it.
-constexpr milliseconds callerIdleTime{60000};
-// Longer than daemons keep idle connections, so that they close first.
-constexpr milliseconds peerIdleTime{6000};
+// Callers check readiness once a second and notice within two checks that the daemon is stopping.
+constexpr milliseconds callerDrainDelay{2200};
+// Part of the grace period reserved for the end of the process itself.
+constexpr milliseconds exitMargin{700};
+constexpr milliseconds stopPollInterval{20};
+// Longer than the idle timeout that the desired state sets for callers, so that the caller closes
+// an idle connection first.
+constexpr milliseconds callerIdleTimeout{60000};
+// Longer than the time for which other daemons keep idle connections, so that the other daemon
+// closes the connection first.
+constexpr milliseconds peerIdleTimeout{6000};
 constexpr milliseconds storeProxyBodyTimeout{2000};
-// Values of the store are at most 1 MB.
-constexpr size_t maxStoreProxyBytes = 2 * 1024 * 1024;
+// Values in the store have at most 1 MB.
+constexpr size_t maxStoreProxyBodyBytes = 2 * 1024 * 1024;
 
 random_source makeRandomSource()
 {
@@ -35,7 +37,7 @@
 
 uint64_t makeFeedId()
 {
-    // JSON numbers are exact below 2^53.
+    // JSON numbers are exact only below 2^53.
     return (makeRandomSource()() >> 12) + 1;
 }
 
@@ -52,7 +54,7 @@
     : m_settings(settings)
     , m_platform(std::move(platform))
     , m_store(makeProxiedStore(m_platform.store, makeStoreProxyHooks()))
-    , m_log({settings.level, "", logLinesPerSecond, true})
+    , m_log({settings.level, "", maxLogLinesPerSecond, true})
     , m_feed(makeFeedId())
     , m_builder([this](const std::string &key, std::string_view reason) {
         m_log.write(log_level::Warn,
@@ -71,8 +73,8 @@
     request_proxy_options options;
     options.callerService = m_settings.service;
     options.availabilityZone = m_settings.availabilityZone;
-    // The budget is shared by daemons that do not know each other's use of it, so each takes a
-    // share of its own requests only, and a little for itself.
+    // Daemons share the retry budget without knowing each other's retries, so each daemon allows
+    // itself a share of its own requests and a small constant rate.
     options.retries = {m_settings.retryRatio * 0.6, 0.2, 2.0};
     options.linkBytesPerSecond = m_settings.linkMbps * 1e6 / 8;
     m_proxy = std::make_unique<request_proxy>(options, makeProxyHooks(), m_platform.codec,
@@ -120,20 +122,22 @@
         }
         return opened.status();
     };
-    constexpr int fewConnections = 32;
+    constexpr int maxAuxiliaryConnections = 32;
     absl::Status status =
-        open(m_peerServer, m_settings.peerAddress, m_settings.maxPeerConnections, peerIdleTime,
+        open(m_peerServer, m_settings.peerAddress, m_settings.maxPeerConnections, peerIdleTimeout,
              [this](server_exchange &exchange) { servePeer(exchange); });
-    status.Update(open(m_reportServer, m_settings.reportAddress, fewConnections, callerIdleTime,
+    status.Update(open(m_reportServer, m_settings.reportAddress, maxAuxiliaryConnections,
+                       callerIdleTimeout,
                        [this](server_exchange &exchange) { serveReport(exchange); }));
     status.Update(open(m_callerServer, m_settings.callerAddress, m_settings.maxCallerConnections,
-                       callerIdleTime,
+                       callerIdleTimeout,
                        [this](server_exchange &exchange) { m_proxy->serveCaller(exchange); }));
-    status.Update(open(m_readyServer, m_settings.readyAddress, fewConnections, callerIdleTime,
+    status.Update(open(m_readyServer, m_settings.readyAddress, maxAuxiliaryConnections,
+                       callerIdleTimeout,
                        [this](server_exchange &exchange) { serveReady(exchange); }));
     if (!m_settings.metricsAddress.empty()) {
-        status.Update(open(m_metricsServer, m_settings.metricsAddress, fewConnections,
-                           callerIdleTime, [this](server_exchange &exchange) {
+        status.Update(open(m_metricsServer, m_settings.metricsAddress, maxAuxiliaryConnections,
+                           callerIdleTimeout, [this](server_exchange &exchange) {
                                exchange.respond(200, m_metrics.renderText(), "text/plain");
                            }));
     }
@@ -163,18 +167,18 @@
 
 void router::state::schedulePeriodicTasks()
 {
-    m_loop.every(rangeInterval, [this](steady_time now) {
-        m_ranges->setOwnQueue(m_dispatcher->queue());
+    m_loop.every(rangeTickInterval, [this](steady_time now) {
+        m_ranges->setLocalQueue(m_dispatcher->queue());
         std::shared_ptr<const route_table> routes;
         std::shared_ptr<const fleet_directory> directory;
-        bool listed = false;
+        bool isListed = false;
         {
             const std::lock_guard lock(m_mutex);
             routes = m_routes;
             directory = m_directory;
-            listed = m_directoryListed;
+            isListed = m_isDirectoryListed;
         }
-        if (!listed) {
+        if (!isListed) {
             return;
         }
         publishEarlierIncarnations(*directory);
@@ -185,7 +189,7 @@
             m_ranges->tick(now);
         }
     });
-    m_loop.every(upstreamCheckInterval, [this](steady_time now) { checkUpstream(now); });
+    m_loop.every(upstreamCheckInterval, [this](steady_time now) { expireUpstreamReports(now); });
     m_loop.every(peer_monitor_options().pollInterval, [this](steady_time now) { pollPeers(now); });
 }
 
@@ -229,7 +233,7 @@
         const std::lock_guard lock(m_mutex);
         return m_directory;
     };
-    hooks.isStopping = [this] { return m_stopping.load(); };
+    hooks.isStopping = [this] { return m_isStopping.load(); };
     hooks.makeRandom = makeRandomSource;
     return hooks;
 }
@@ -243,7 +247,7 @@
     if (exchange.request().getURI() == storeProxyPath) {
         std::string body;
         const io_status status = exchange.readAll(
-            body, maxStoreProxyBytes, std::chrono::steady_clock::now() + storeProxyBodyTimeout);
+            body, maxStoreProxyBodyBytes, std::chrono::steady_clock::now() + storeProxyBodyTimeout);
         exchange.respond(status == io_status::Ok ? 200 : 400,
                          status == io_status::Ok ? serveStoreProxy(m_platform.store, body) : "",
                          "application/json");
@@ -262,14 +266,14 @@
 std::string router::state::renderStatuses() const
 {
     const local_target target = localTarget();
-    const bool acceptsRequests = target.closed == proxy_reason::None && !m_stopping;
-    std::vector<reported_status> others;
+    const bool acceptsRequests = target.closed == proxy_reason::None && !m_isStopping;
+    std::vector<forwarded_status> others;
     {
         const std::lock_guard lock(m_mutex);
         others = m_peerStatuses;
-        const auto passed = std::chrono::steady_clock::now() - m_peerStatusesAt;
-        for (reported_status &other : others) {
-            other.age += std::chrono::duration_cast<milliseconds>(passed);
+        const auto elapsed = std::chrono::steady_clock::now() - m_peerStatusesAt;
+        for (forwarded_status &other : others) {
+            other.age += std::chrono::duration_cast<milliseconds>(elapsed);
         }
     }
     return encodeStatuses({m_dispatcher->queue(), target.id, acceptsRequests}, others);
@@ -278,7 +282,7 @@
 bool router::state::isReady() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_routes != nullptr && m_directoryListed && !m_stopping;
+    return m_routes != nullptr && m_isDirectoryListed && !m_isStopping;
 }
 
 void router::state::serveReady(server_exchange &exchange)
@@ -304,14 +308,14 @@
 
 void router::state::stop()
 {
-    const steady_time begun = std::chrono::steady_clock::now();
-    const steady_time end = begun + m_settings.gracePeriod - exitReserve;
-    m_stopping = true;
+    const steady_time startedAt = std::chrono::steady_clock::now();
+    const steady_time deadline = startedAt + m_settings.gracePeriod - exitMargin;
+    m_isStopping = true;
     m_feed.stop();
     logEvent("stop", absl::StrCat("in_flight=", m_proxy->inFlight()));
     m_loop.post([this](steady_time now) {
         if (m_upstream.report()) {
-            m_publisher->want(ownMember());
+            m_publisher->publish(ownMember());
             std::shared_ptr<const fleet_directory> directory;
             {
                 const std::lock_guard lock(m_mutex);
@@ -322,16 +326,16 @@
     });
     const auto waitUntil = [&](steady_time until, const std::function<bool()> &condition) {
         while (!condition() && std::chrono::steady_clock::now() < until) {
-            std::this_thread::sleep_for(stopPoll);
+            std::this_thread::sleep_for(stopPollInterval);
         }
     };
-    waitUntil(std::min(begun + callersLeaveTime, end), [] { return false; });
-    m_loop.postAndWait([this](steady_time) { m_ranges->extendHolds(m_settings.maxHold); });
-    m_closed = true;
-    // Ends idle connections, and the others after the request in progress; a request that is sent
+    waitUntil(std::min(startedAt + callerDrainDelay, deadline), [] { return false; });
+    m_loop.postAndWait([this](steady_time) { m_ranges->extendGrants(m_settings.maxHold); });
+    m_isDispatchClosed = true;
+    // Closes idle connections at once and the others after their current request. A request sent
     // later would be cut off by the end of the process.
     m_callerServer->stopListening();
-    waitUntil(end, [this] { return m_proxy->inFlight() == 0; });
+    waitUntil(deadline, [this] { return m_proxy->inFlight() == 0; });
     logEvent("stopped", absl::StrCat("in_flight=", m_proxy->inFlight()));
 }
 
--- a/src/persimmonrail/router/router_state.h
+++ b/src/persimmonrail/router/router_state.h
@@ -18,8 +18,8 @@
 
 namespace persimmonrail {
 
-// The parts of one router daemon and the hooks between them. Control state belongs to the control
-// thread; what traffic threads read is published under m_mutex.
+// The components of one router daemon and the hooks between them. Control state is used only on the
+// control thread; data that traffic threads read is published under m_mutex.
 class router::state
 {
 public:
@@ -38,24 +38,26 @@
     void startWatchers();
     store_proxy_hooks makeStoreProxyHooks();
     relayed_watch_hooks makeWatchHooks();
-    // Daemons that this one follows; empty if it follows the store itself.
-    std::vector<std::string> relays() const;
+    // Returns the peer addresses of the relays that this daemon follows; empty if the daemon
+    // follows the store itself.
+    std::vector<std::string> relayAddresses() const;
     void applyObject(const stored_object &object);
     void schedulePeriodicTasks();
 
     // Store.
     void onDesiredState(const object_list &objects);
     void logRoutes(const route_table &routes);
-    void onFleetObjects(const object_list &objects, bool isWhole, steady_time readAt);
+    void onFleetObjects(const object_list &objects, bool isFullList, steady_time sentAt);
     void publishDirectory(boot_time confirmedAt);
-    void onReachable(std::string_view what, bool isReachable, const absl::Status &status);
+    void onStoreReachabilityChange(std::string_view watchName, bool isReachable,
+                                   const absl::Status &status);
 
     // Upstream.
     void serveReport(server_exchange &exchange);
     void onUpstreamMessage(const upstream_message &message, steady_time now);
     void onUpstreamChanged(std::string_view cause, steady_time now);
     void publishEarlierIncarnations(const fleet_directory &directory);
-    void checkUpstream(steady_time now);
+    void expireUpstreamReports(steady_time now);
     upstream_member ownMember() const;
     local_target localTarget() const;
     void pollPeers(steady_time now);
@@ -73,33 +75,33 @@
 
     const router_settings m_settings;
     const router_platform m_platform;
-    // The platform's store, directly or through a peer.
+    // The platform's store, reached directly or through a peer.
     const object_api m_store;
     decision_log m_log;
     metrics m_metrics;
     control_loop m_loop;
-    std::atomic<bool> m_stopping{false};
-    // The fleet's objects, for daemons that follow this one.
+    std::atomic<bool> m_isStopping{false};
+    // The fleet's objects, for daemons that follow this daemon.
     change_feed m_feed;
-    // Set once the daemon hands nothing more to its upstream.
-    std::atomic<bool> m_closed{false};
+    // Set during the shutdown, when the daemon stops dispatching requests to its upstream.
+    std::atomic<bool> m_isDispatchClosed{false};
 
-    // Control state.
+    // Control state, used only on the control thread.
     fleet_directory_builder m_builder;
     local_upstream m_upstream;
-    // When each unreachable peer was marked, by upstream name.
-    std::map<std::string, steady_time> m_marked;
+    // When each unreachable peer was last marked, by upstream name.
+    std::map<std::string, steady_time> m_unreachableMarkedAt;
 
-    // Published for traffic threads.
+    // Published for traffic threads, guarded by m_mutex.
     mutable std::mutex m_mutex;
     std::shared_ptr<const route_table> m_routes;
     std::shared_ptr<const fleet_directory> m_directory;
-    bool m_directoryListed = false;
+    bool m_isDirectoryListed = false;
     local_target m_target;
-    // What this daemon knew of its peers at that moment, to be passed on to them.
-    std::vector<reported_status> m_peerStatuses;
+    // Statuses of the peers as of m_peerStatusesAt, to be forwarded to the peers.
+    std::vector<forwarded_status> m_peerStatuses;
     steady_time m_peerStatusesAt{};
-    // When a leaving upstream gets no more work, even for keys that it holds.
+    // When a draining upstream stops receiving requests, also those for keys that it holds.
     steady_time m_drainEnd{};
 
     std::unique_ptr<range_controller> m_ranges;
--- a/src/persimmonrail/router/router_state_store.cpp
+++ b/src/persimmonrail/router/router_state_store.cpp
@@ -1,4 +1,5 @@
-// How the router follows the store: the desired state, the fleet, and ways around a cut.
+// The part of router::state that follows the store: the desired state, the fleet, and the other
+// paths used while the direct path to the store fails.
 #include "persimmonrail/router/router_state.h"
 
 #include "persimmonrail/base/text.h"
@@ -14,41 +15,40 @@
 void router::state::startWatchers()
 {
     object_watcher_options watchOptions;
-    watchOptions.wait = m_platform.watchWait;
-    object_watcher::hooks desired;
-    desired.onList = desired.onChanges = [this](const object_list &objects, steady_time) {
-        onDesiredState(objects);
-    };
-    desired.onEvent = [this](std::string_view event) {
+    watchOptions.maxWatchWait = m_platform.watchWait;
+    object_watcher::hooks desiredStateHooks;
+    desiredStateHooks.onList = desiredStateHooks.onChanges =
+        [this](const object_list &objects, steady_time) { onDesiredState(objects); };
+    desiredStateHooks.onEvent = [this](std::string_view event) {
         logEvent("watch", absl::StrCat("prefix=desired-state event=", toAbsl(event)));
     };
-    desired.onReachable = [this](bool isReachable, const absl::Status &status) {
-        onReachable("desired-state", isReachable, status);
+    desiredStateHooks.onReachabilityChange = [this](bool isReachable, const absl::Status &status) {
+        onStoreReachabilityChange("desired-state", isReachable, status);
     };
     m_desiredStateWatcher = std::make_unique<object_watcher>(m_store, m_platform.desiredStatePrefix,
-                                                             desired, watchOptions);
-    object_watcher::hooks fleet;
-    fleet.onList = [this](const object_list &objects, steady_time readAt) {
+                                                             desiredStateHooks, watchOptions);
+    object_watcher::hooks fleetHooks;
+    fleetHooks.onList = [this](const object_list &objects, steady_time sentAt) {
         m_feed.reset(objects);
-        if (relays().empty()) {
-            m_feed.confirm(readAt);
+        if (relayAddresses().empty()) {
+            m_feed.confirm(sentAt);
         }
         m_loop.post(
-            [this, objects, readAt](steady_time) { onFleetObjects(objects, true, readAt); });
+            [this, objects, sentAt](steady_time) { onFleetObjects(objects, true, sentAt); });
     };
-    fleet.onChanges = [this](const object_list &objects, steady_time readAt) {
+    fleetHooks.onChanges = [this](const object_list &objects, steady_time sentAt) {
         m_feed.apply(objects);
         m_loop.post(
-            [this, objects, readAt](steady_time) { onFleetObjects(objects, false, readAt); });
+            [this, objects, sentAt](steady_time) { onFleetObjects(objects, false, sentAt); });
     };
-    fleet.onEvent = [this](std::string_view event) {
+    fleetHooks.onEvent = [this](std::string_view event) {
         logEvent("watch", absl::StrCat("prefix=fleet event=", toAbsl(event)));
     };
-    fleet.onReachable = [this](bool isReachable, const absl::Status &status) {
-        onReachable("fleet", isReachable, status);
+    fleetHooks.onReachabilityChange = [this](bool isReachable, const absl::Status &status) {
+        onStoreReachabilityChange("fleet", isReachable, status);
     };
     m_fleetWatcher = std::make_unique<object_watcher>(makeRelayedWatch(m_store, makeWatchHooks()),
-                                                      fleetPrefix, fleet, watchOptions);
+                                                      fleetPrefix, fleetHooks, watchOptions);
     m_desiredStateWatcher->start();
     m_fleetWatcher->start();
 }
@@ -72,7 +72,7 @@
                      std::minstd_rand(static_cast<unsigned>(now)));
         return addresses;
     };
-    hooks.onChange = [this](bool isDirect, const absl::Status &status) {
+    hooks.onPathChange = [this](bool isDirect, const absl::Status &status) {
         logEvent(isDirect ? "store-direct" : "store-through-peers",
                  absl::StrCat("reason=", status.ToString()));
     };
@@ -80,7 +80,7 @@
     return hooks;
 }
 
-std::vector<std::string> router::state::relays() const
+std::vector<std::string> router::state::relayAddresses() const
 {
     const std::lock_guard lock(m_mutex);
     return relaysFor(*m_directory, m_settings.availabilityZone, m_settings.peerAddress);
@@ -89,7 +89,7 @@
 relayed_watch_hooks router::state::makeWatchHooks()
 {
     relayed_watch_hooks hooks;
-    hooks.relays = [this] { return relays(); };
+    hooks.relays = [this] { return relayAddresses(); };
     hooks.onDirectResponse = [this](steady_time now) { m_feed.confirm(now); };
     hooks.onSource = [this](std::string_view source, const absl::Status &reason) {
         logEvent("follow", absl::StrCat("source=", toAbsl(source), " reason=", reason.ToString()));
@@ -125,7 +125,7 @@
             continue;
         }
         const std::lock_guard lock(m_mutex);
-        // What was in force never goes back within one run of the process.
+        // An older version never replaces the version in force while the process runs.
         if (m_routes != nullptr && (*table)->version() < m_routes->version()) {
             m_log.write(
                 log_level::Warn,
@@ -148,32 +148,32 @@
         return;
     }
     for (const route &route : routes.routes()) {
-        std::string parts;
-        for (const traffic_share &part : route.trafficShares) {
-            absl::StrAppend(&parts, parts.empty() ? "" : ",", part.service, ":", part.weight);
+        std::string shares;
+        for (const traffic_share &share : route.trafficShares) {
+            absl::StrAppend(&shares, shares.empty() ? "" : ",", share.service, ":", share.weight);
         }
         m_log.write(log_level::Debug,
                     absl::StrCat("route name=", route.name, " host=", route.host,
                                  " prefix=", route.pathPrefix, " rank=", route.rank, " repeatable=",
                                  route.repeatable, " target_ms=", route.objective.count(),
                                  " timeout_ms=", route.timeout.count(),
-                                 " attempts=", route.maxAttempts, " parts=", parts));
+                                 " attempts=", route.maxAttempts, " parts=", shares));
     }
 }
 
-void router::state::onFleetObjects(const object_list &objects, bool isWhole, steady_time readAt)
+void router::state::onFleetObjects(const object_list &objects, bool isFullList, steady_time sentAt)
 {
-    if (isWhole) {
+    if (isFullList) {
         m_builder.reset(objects);
     } else {
         m_builder.apply(objects);
     }
     {
         const std::lock_guard lock(m_mutex);
-        m_directoryListed = true;
+        m_isDirectoryListed = true;
     }
-    const auto age = std::chrono::steady_clock::now() - readAt;
-    publishDirectory(isWhole ? bootNow() - age : boot_time{});
+    const auto age = std::chrono::steady_clock::now() - sentAt;
+    publishDirectory(isFullList ? bootNow() - age : boot_time{});
 }
 
 void router::state::publishDirectory(boot_time confirmedAt)
@@ -186,10 +186,11 @@
     m_ranges->onDirectory(directory, confirmedAt);
 }
 
-void router::state::onReachable(std::string_view what, bool isReachable, const absl::Status &status)
+void router::state::onStoreReachabilityChange(std::string_view watchName, bool isReachable,
+                                              const absl::Status &status)
 {
     logEvent(isReachable ? "store-regained" : "store-lost",
-             absl::StrCat("watch=", toAbsl(what),
+             absl::StrCat("watch=", toAbsl(watchName),
                           isReachable ? "" : " reason=", isReachable ? "" : status.ToString()));
     m_metrics.count("persimmonrail_store_changes_total",
                     isReachable ? "state=\"regained\"" : "state=\"lost\"");
--- a/src/persimmonrail/router/router_state_upstream.cpp
+++ b/src/persimmonrail/router/router_state_upstream.cpp
@@ -1,5 +1,5 @@
-// What the router believes of the upstream beside it and of those of its peers, and what it tells
-// the fleet of them.
+// The part of router::state that tracks the local upstream and the peers' upstreams, and publishes
+// their state to the fleet.
 #include "persimmonrail/router/router_state.h"
 
 #include "persimmonrail/base/text.h"
@@ -9,10 +9,11 @@
 namespace persimmonrail {
 namespace {
 
-// Left of the drain timeout for a request on its way to the upstream.
-constexpr milliseconds drainReserve{500};
-// After this time a peer is marked again that took itself back but still can't be reached.
-constexpr milliseconds markInterval{10000};
+// Part of the drain timeout reserved for a request that is on its way to the upstream.
+constexpr milliseconds drainMargin{500};
+// An unreachable peer is marked again after this time if it removed the mark but still can't be
+// reached.
+constexpr milliseconds repeatMarkInterval{10000};
 constexpr size_t maxReportBytes = 64 * 1024;
 constexpr milliseconds reportTimeout{2000};
 
@@ -35,7 +36,7 @@
         exchange.respond(400, "{}", "application/json");
         return;
     }
-    // The acknowledgement binds, so the daemon acts before it answers.
+    // The acknowledgement is binding, so the daemon applies the message before it responds.
     m_loop.postAndWait([this, &message](steady_time now) { onUpstreamMessage(*message, now); });
     exchange.respond(200, "{}", "application/json");
 }
@@ -53,7 +54,7 @@
         return;
     }
     if (before && m_upstream.report() && before->id != m_upstream.report()->id) {
-        // The process of the earlier life has ended, or its address would not be free.
+        // The earlier incarnation's process has ended; otherwise its address would still be in use.
         m_dispatcher->dropConnections(before->address);
     }
     if (verdict == local_upstream::verdict::Changed) {
@@ -72,7 +73,7 @@
     member.slots = std::max(report.slots, 1);
     member.host = {m_settings.processorShare * m_settings.processorSpeed, m_settings.linkMbps};
     member.isTerminated = m_upstream.phase() == upstream_phase::Absent;
-    member.isDraining = !m_upstream.acceptsRequests() || m_stopping;
+    member.isDraining = !m_upstream.acceptsRequests() || m_isStopping;
     return member;
 }
 
@@ -87,7 +88,7 @@
         const std::lock_guard lock(m_mutex);
         if (m_upstream.phase() == upstream_phase::Draining
             && m_target.closed != proxy_reason::Draining) {
-            m_drainEnd = now + m_settings.drainTimeout - drainReserve;
+            m_drainEnd = now + m_settings.drainTimeout - drainMargin;
         }
         m_target.id = report.id;
         m_target.service = m_settings.service;
@@ -97,14 +98,14 @@
                                                              : proxy_reason::UpstreamUnreachable;
     }
     m_dispatcher->setSlots(std::max(report.slots, 1));
-    m_publisher->want(ownMember());
-    const bool isThere = m_upstream.phase() != upstream_phase::Absent;
-    m_ranges->setUpstream(isThere ? std::optional(report.id) : std::nullopt,
+    m_publisher->publish(ownMember());
+    const bool isUpstreamPresent = m_upstream.phase() != upstream_phase::Absent;
+    m_ranges->setUpstream(isUpstreamPresent ? std::optional(report.id) : std::nullopt,
                           m_settings.upstreamAddress, !m_upstream.acceptsRequests());
 }
 
-// A host has one upstream. Once another one reports, the members that this daemon published before
-// it restarted have ended, whatever became of their last messages.
+// A host has one upstream. Once another incarnation reports, the members that this daemon published
+// before its restart have ended, even if their last messages were lost.
 void router::state::publishEarlierIncarnations(const fleet_directory &directory)
 {
     if (!m_upstream.report()) {
@@ -112,11 +113,11 @@
     }
     for (const upstream_member &member :
          earlierIncarnations(directory, m_settings.peerAddress, m_upstream.report()->id)) {
-        m_publisher->want(member);
+        m_publisher->publish(member);
     }
 }
 
-void router::state::checkUpstream(steady_time now)
+void router::state::expireUpstreamReports(steady_time now)
 {
     if (m_upstream.expire(now)) {
         onUpstreamChanged("reports-overdue", now);
@@ -134,43 +135,46 @@
     std::erase_if(peers, [this](const upstream_member *member) {
         return member->peerAddress == m_settings.peerAddress;
     });
-    const bool isThere = m_upstream.report() && m_upstream.phase() != upstream_phase::Absent;
-    const upstream_member own = isThere ? ownMember() : upstream_member();
-    m_peers->poll(peers, isThere ? &own : nullptr, now);
+    const bool isUpstreamPresent =
+        m_upstream.report() && m_upstream.phase() != upstream_phase::Absent;
+    const upstream_member own = isUpstreamPresent ? ownMember() : upstream_member();
+    m_peers->poll(peers, isUpstreamPresent ? &own : nullptr, now);
     {
         const std::lock_guard lock(m_mutex);
-        m_peerStatuses = m_peers->health().known(now);
+        m_peerStatuses = m_peers->health().peerStatuses(now);
         m_peerStatusesAt = now;
     }
-    range_controller::peers view = m_peers->health().view(isThere ? &own : nullptr, now);
+    range_controller::peer_view view =
+        m_peers->health().view(isUpstreamPresent ? &own : nullptr, now);
     if (view.isCoordinator) {
         markUnreachable(*directory, view.unreachable, now);
     }
     m_ranges->setPeers(std::move(view));
 }
 
-// Tells the fleet of members that can't be reached, so that no daemon has to find out by itself. A
-// member that is back takes the mark away by itself.
+// Marks unreachable members in the store as draining, so that other daemons need not detect the
+// failure themselves. The daemon of a member that is reachable again removes the mark itself.
 void router::state::markUnreachable(const fleet_directory &directory,
                                     const std::vector<upstream_id> &unreachable, steady_time now)
 {
-    for (auto marked = m_marked.begin(); marked != m_marked.end();) {
+    for (auto marked = m_unreachableMarkedAt.begin(); marked != m_unreachableMarkedAt.end();) {
         const auto *known = directory.findMember(marked->first);
         if (known == nullptr || known->member.isDraining) {
-            m_publisher->forget(marked->first);
+            m_publisher->stopPublishing(marked->first);
         }
-        marked = now - marked->second >= markInterval ? m_marked.erase(marked) : std::next(marked);
+        marked = now - marked->second >= repeatMarkInterval ? m_unreachableMarkedAt.erase(marked)
+                                                            : std::next(marked);
     }
     for (const upstream_id &id : unreachable) {
         const auto *known = directory.findMember(id.name);
         if (known == nullptr || known->member.id != id || known->member.isDraining
-            || m_marked.contains(id.name)) {
+            || m_unreachableMarkedAt.contains(id.name)) {
             continue;
         }
         upstream_member member = known->member;
         member.isDraining = true;
-        m_publisher->want(member);
-        m_marked[id.name] = now;
+        m_publisher->publish(member);
+        m_unreachableMarkedAt[id.name] = now;
         logEvent("peer-unreachable", absl::StrCat("upstream=", toString(id)));
     }
 }
@@ -179,12 +183,12 @@
 {
     const std::lock_guard lock(m_mutex);
     local_target target = m_target;
-    if (m_closed && target.closed == proxy_reason::None) {
+    if (m_isDispatchClosed && target.closed == proxy_reason::None) {
         target.closed = proxy_reason::Stopping;
     }
-    const bool servesKeys = target.closed == proxy_reason::Draining && !m_closed
+    const bool isOpenForKeys = target.closed == proxy_reason::Draining && !m_isDispatchClosed
         && std::chrono::steady_clock::now() < m_drainEnd;
-    target.closedForKeys = servesKeys ? proxy_reason::None : target.closed;
+    target.closedForKeys = isOpenForKeys ? proxy_reason::None : target.closed;
     return target;
 }
 
--- a/src/persimmonrail/router/store_proxy.cpp
+++ b/src/persimmonrail/router/store_proxy.cpp
@@ -9,7 +9,7 @@
 namespace persimmonrail {
 namespace {
 
-struct proxied_call_text
+struct store_call
 {
     std::string operation;
     std::string key;
@@ -17,7 +17,7 @@
     std::string value;
 };
 
-std::string encodeCall(const proxied_call_text &call)
+std::string encodeCall(const store_call &call)
 {
     Poco::JSON::Object object;
     object.set("operation", call.operation);
@@ -27,14 +27,14 @@
     return renderJson(object);
 }
 
-absl::StatusOr<proxied_call_text> parseCall(std::string_view text)
+absl::StatusOr<store_call> parseCall(std::string_view text)
 {
     return decodeJson(text, "store call",
-                      [](const Poco::JSON::Object &object) -> absl::StatusOr<proxied_call_text> {
-                          return proxied_call_text{object.getValue<std::string>("operation"),
-                                                   object.getValue<std::string>("key"),
-                                                   object.getValue<uint64_t>("version"),
-                                                   object.getValue<std::string>("value")};
+                      [](const Poco::JSON::Object &object) -> absl::StatusOr<store_call> {
+                          return store_call{object.getValue<std::string>("operation"),
+                                            object.getValue<std::string>("key"),
+                                            object.getValue<uint64_t>("version"),
+                                            object.getValue<std::string>("value")};
                       });
 }
 
@@ -43,8 +43,8 @@
     return renderJson(encodeObjectList(outcome));
 }
 
-// Whether the same call may succeed by another way.
-bool isPathFault(const absl::Status &status)
+// Whether the same call may succeed by another path.
+bool isPathFailure(const absl::Status &status)
 {
     return absl::IsUnavailable(status) || absl::IsResourceExhausted(status);
 }
@@ -65,7 +65,7 @@
         return run<stored_object>([&] { return m_direct.get(key); }, {"get", key, 0, ""},
                                   [](const object_list &list) -> absl::StatusOr<stored_object> {
                                       return list.objects.empty()
-                                          ? absl::InternalError("no object")
+                                          ? absl::InternalError("peer returned no object")
                                           : absl::StatusOr<stored_object>(list.objects.front());
                                   });
     }
@@ -85,35 +85,37 @@
     }
 
 private:
-    bool mayGoDirect()
+    bool canTryDirect()
     {
         const std::lock_guard lock(m_mutex);
-        return m_hooks.now() >= m_directAgainAt;
+        return m_hooks.now() >= m_nextDirectAttemptAt;
     }
 
-    void noteDirect(const absl::Status &status)
+    void recordDirectResult(const absl::Status &status)
     {
-        const bool isDirect = !isPathFault(status);
+        const bool isDirect = !isPathFailure(status);
         bool changed = false;
         {
             const std::lock_guard lock(m_mutex);
             changed = isDirect != m_isDirect;
             m_isDirect = isDirect;
-            m_directAgainAt = isDirect ? steady_time{} : m_hooks.now() + m_options.directPause;
+            m_nextDirectAttemptAt =
+                isDirect ? steady_time{} : m_hooks.now() + m_options.directRetryDelay;
         }
         if (changed) {
-            m_hooks.onChange(isDirect, status);
+            m_hooks.onPathChange(isDirect, status);
         }
     }
 
-    template <typename Value, typename Direct, typename Take>
-    absl::StatusOr<Value> run(const Direct &direct, const proxied_call_text &call, const Take &take)
+    template <typename Value, typename Direct, typename Extract>
+    absl::StatusOr<Value> run(const Direct &direct, const store_call &call, const Extract &extract)
     {
-        absl::Status failure = absl::UnavailableError("store not reachable directly");
-        if (mayGoDirect()) {
+        absl::Status failure =
+            absl::UnavailableError("the direct path to the store is unavailable");
+        if (canTryDirect()) {
             auto response = direct();
-            noteDirect(response.status());
-            if (!isPathFault(response.status())) {
+            recordDirectResult(response.status());
+            if (!isPathFailure(response.status())) {
                 return response;
             }
             failure = response.status();
@@ -121,32 +123,33 @@
         const std::vector<std::string> peers = m_hooks.peers();
         const size_t count = std::min(peers.size(), static_cast<size_t>(m_options.maxPeers));
         for (size_t i = 0; i < count; ++i) {
-            const auto response = askPeer(peers[i], call);
+            const auto response = callPeer(peers[i], call);
             if (response.ok()) {
-                return take(*response);
+                return extract(*response);
             }
-            if (!isPathFault(response.status())) {
+            if (!isPathFailure(response.status())) {
                 return response.status();
             }
         }
         return failure;
     }
 
-    absl::StatusOr<object_list> askPeer(const std::string &address, const proxied_call_text &call)
+    absl::StatusOr<object_list> callPeer(const std::string &address, const store_call &call)
     {
         const auto response =
             simpleRequest(m_client, address, "POST", storeProxyPath, encodeCall(call),
                           std::chrono::steady_clock::now() + m_options.peerTimeout);
         if (!response.ok()) {
-            // Only a write can have had an effect.
+            // Only a write can have taken effect.
             return call.operation == "put" && absl::IsUnknown(response.status())
                 ? response.status()
                 : absl::UnavailableError(response.status().message());
         }
         if (response->status != 200) {
-            return absl::UnavailableError(absl::StrCat("peer answered ", response->status));
+            return absl::UnavailableError(
+                absl::StrCat("peer responded with status ", response->status));
         }
-        return decodeJson(response->body, "store answer", decodeObjectList);
+        return decodeJson(response->body, "store response", decodeObjectList);
     }
 
     const object_api m_direct;
@@ -155,7 +158,7 @@
     http_client m_client;
     std::mutex m_mutex;
     bool m_isDirect = true;
-    steady_time m_directAgainAt{};
+    steady_time m_nextDirectAttemptAt{};
 };
 
 } // namespace
--- a/src/persimmonrail/router/tests/object_watcher_test.cpp
+++ b/src/persimmonrail/router/tests/object_watcher_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A store that gives scripted answers and then none until the end.
+// A store that returns scripted responses. Further calls wait for end() and then fail.
 struct scripted_store
 {
     std::mutex mutex;
@@ -21,31 +21,31 @@
     std::vector<std::string> events;
     bool ended = false;
 
-    absl::StatusOr<object_list> take(std::deque<absl::StatusOr<object_list>> &responses)
+    absl::StatusOr<object_list> takeResponse(std::deque<absl::StatusOr<object_list>> &responses)
     {
         std::unique_lock lock(mutex);
         changed.wait_for(lock, 10s, [&] { return ended || !responses.empty(); });
         if (responses.empty()) {
-            return absl::UnavailableError("no answer");
+            return absl::UnavailableError("no response");
         }
         auto response = responses.front();
         responses.pop_front();
         return response;
     }
-    object_api api()
+    object_api makeApi()
     {
-        object_api made;
-        made.list = [this](const std::string &) { return take(lists); };
-        made.watch = [this](const std::string &, uint64_t revision, milliseconds) {
+        object_api api;
+        api.list = [this](const std::string &) { return takeResponse(lists); };
+        api.watch = [this](const std::string &, uint64_t revision, milliseconds) {
             {
                 const std::lock_guard lock(mutex);
                 watchedFrom.push_back(revision);
             }
-            return take(watches);
+            return takeResponse(watches);
         };
-        return made;
+        return api;
     }
-    void note(const std::string &event)
+    void recordEvent(const std::string &event)
     {
         const std::lock_guard lock(mutex);
         events.push_back(event);
@@ -66,8 +66,8 @@
 
 } // namespace
 
-// Guards against a view that misses changes after the store lost its history or an answer.
-TEST_CASE("a watch that can't go on lists anew", "[router]")
+// Guards against missed changes after the store dropped its history or a watch failed.
+TEST_CASE("the watcher lists again after a lost history or a failed watch", "[router]")
 {
     scripted_store store;
     store.lists = {object_list{5, {}}, object_list{9, {}}, object_list{12, {}}};
@@ -76,15 +76,15 @@
     {
         object_watcher::hooks hooks;
         hooks.onList = [&](const object_list &list, steady_time) {
-            store.note("list " + std::to_string(list.revision));
+            store.recordEvent("list " + std::to_string(list.revision));
         };
         hooks.onChanges = [&](const object_list &changes, steady_time) {
-            store.note("changes " + std::to_string(changes.revision));
+            store.recordEvent("changes " + std::to_string(changes.revision));
         };
-        hooks.onReachable = [&](bool isReachable, const absl::Status &) {
-            store.note(isReachable ? "regained" : "lost");
+        hooks.onReachabilityChange = [&](bool isReachable, const absl::Status &) {
+            store.recordEvent(isReachable ? "regained" : "lost");
         };
-        object_watcher watcher(store.api(), "fleet/", hooks, {10ms, 1ms, 2ms});
+        object_watcher watcher(store.makeApi(), "fleet/", hooks, {10ms, 1ms, 2ms});
         watcher.start();
         REQUIRE(store.waitFor(7));
         store.end();
--- a/src/persimmonrail/router/tests/peer_health_test.cpp
+++ b/src/persimmonrail/router/tests/peer_health_test.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("the lowest reachable upstream acts for lost owners", "[router]")
+TEST_CASE("the reachable upstream with the lowest id is the coordinator", "[router]")
 {
     fleet site;
     site.health.setPeers(site.peers(), start);
@@ -52,18 +52,18 @@
     CHECK_FALSE(site.health.view(nullptr, start).isCoordinator);
 }
 
-// Guards against a daemon that is cut off and takes the keys of all others.
-TEST_CASE("a daemon that reaches few peers does not take them for lost", "[router]")
+// Guards against a daemon that is itself cut off and takes over the keys of all others.
+TEST_CASE("a daemon that reaches few peers does not consider the others lost at once", "[router]")
 {
     fleet site;
     site.health.setPeers(site.peers(), start);
     for (const char *name : {"b", "c", "d"}) {
         site.respond(name, start);
     }
-    site.health.onSilence({"b", 1}, start + 2s);
+    site.health.onNoResponse({"b", 1}, start + 2s);
     CHECK(site.health.view(&site.self, start + 2s).unreachable
           == std::vector<upstream_id>{{"b", 1}});
-    site.health.onSilence({"c", 1}, start + 2s);
+    site.health.onNoResponse({"c", 1}, start + 2s);
     CHECK(site.health.view(&site.self, start + 2s).unreachable.empty());
     CHECK(site.health.view(&site.self, start + 9s).unreachable.size() == 2);
     site.respond("b", start + 9s);
@@ -71,7 +71,7 @@
           == std::vector<upstream_id>{{"c", 1}});
 }
 
-TEST_CASE("members that leave are given no keys", "[router]")
+TEST_CASE("draining members receive no keys", "[router]")
 {
     fleet site;
     site.members[0].isDraining = true;
@@ -83,9 +83,9 @@
     CHECK(site.health.view(&site.self, start).live.size() == 2);
 }
 
-// Guards against keys for an upstream that drains, or another one behind the same port, while its
-// daemon can't tell the store.
-TEST_CASE("a peer's own word decides whether it is given keys", "[router]")
+// Guards against assigning keys to an upstream that drains, or that was replaced behind the same
+// port, while its daemon can't write this to the store.
+TEST_CASE("a peer's own status decides whether it receives keys", "[router]")
 {
     fleet site;
     site.health.setPeers(site.peers(), start);
@@ -99,18 +99,18 @@
     CHECK(view.unreachable.empty());
 }
 
-// Guards against keys that all go to the first upstream after a start of everything.
-TEST_CASE("members that were just written count as live", "[router]")
+// Guards against assigning all keys to the first upstream when all upstreams start together.
+TEST_CASE("members that were not polled yet count as live", "[router]")
 {
     fleet site;
     site.health.setPeers(site.peers(), start);
     CHECK(site.health.view(&site.self, start).live.size() == 4);
     CHECK(site.health.view(&site.self, start).loads.empty());
-    site.health.onSilence({"b", 1}, start);
+    site.health.onNoResponse({"b", 1}, start);
     CHECK(site.health.view(&site.self, start).live.size() == 3);
 }
 
-TEST_CASE("a peer's status is read as written", "[router]")
+TEST_CASE("a peer status round-trips through its text form", "[router]")
 {
     const auto status = parsePeerStatus(encodePeerStatus({{3, 4, 9, 10ms}, {"i-1", 17}, true}));
     REQUIRE(status.has_value());
@@ -138,8 +138,8 @@
 
 } // namespace
 
-// Load pattern: the first member by name has the weakest host, and would ask 30 others.
-TEST_CASE("the member with the strongest host asks for the others", "[router]")
+// Load pattern: the first member by name has the weakest host, and would poll 30 others.
+TEST_CASE("the member with the strongest host polls for the others", "[router]")
 {
     upstream_member strong = member("m");
     strong.host = {0.5, 200};
@@ -148,67 +148,69 @@
     const upstream_member last = member("z");
     peer_health health;
     health.setPeers({&weak, &strong}, start);
-    CHECK(namesOf(health.targets(&last)) == names{"m"});
+    CHECK(namesOf(health.pollTargets(&last)) == names{"m"});
     health.setPeers({&weak, &last}, start);
-    CHECK(namesOf(health.targets(&strong)) == names{"b", "z"});
+    CHECK(namesOf(health.pollTargets(&strong)) == names{"b", "z"});
 }
 
-// Load pattern: many members of one service. Calls between them grow with their number, not with
-// its square, since one asks for all.
-TEST_CASE("one member asks all others, and they ask only it", "[router]")
+// Load pattern: one service with many members. Calls between the members grow with their number,
+// not with its square, since one member polls for all.
+TEST_CASE("one member polls all others, and the others poll only this member", "[router]")
 {
     fleet site;
     site.health.setPeers(site.peers(), start);
-    CHECK(namesOf(site.health.targets(&site.self)) == names{"b", "c", "d"});
+    CHECK(namesOf(site.health.pollTargets(&site.self)) == names{"b", "c", "d"});
     const upstream_member last = member("z");
-    CHECK(namesOf(site.health.targets(&last)) == names{"b"});
+    CHECK(namesOf(site.health.pollTargets(&last)) == names{"b"});
     const upstream_member third = member("cc");
-    CHECK(namesOf(site.health.targets(&third)) == names{"b"});
-    CHECK(namesOf(site.health.targets(nullptr)) == names{"b"});
-    // The next one answers while it is not certain that the first is lost.
-    site.health.onSilence({"b", 1}, start);
-    CHECK(namesOf(site.health.targets(&last)) == names{"b", "c"});
-    site.health.onSilence({"c", 1}, start);
-    CHECK(namesOf(site.health.targets(&third)) == names{"b", "c", "d"});
+    CHECK(namesOf(site.health.pollTargets(&third)) == names{"b"});
+    CHECK(namesOf(site.health.pollTargets(nullptr)) == names{"b"});
+    // The next member is polled too while it is uncertain whether the first one is lost.
+    site.health.onNoResponse({"b", 1}, start);
+    CHECK(namesOf(site.health.pollTargets(&last)) == names{"b", "c"});
+    site.health.onNoResponse({"c", 1}, start);
+    CHECK(namesOf(site.health.pollTargets(&third)) == names{"b", "c", "d"});
     site.respond("b", start);
-    CHECK(namesOf(site.health.targets(&third)) == names{"b"});
+    CHECK(namesOf(site.health.pollTargets(&third)) == names{"b"});
 }
 
-TEST_CASE("what the first member knows serves the others", "[router]")
+TEST_CASE("members apply the statuses that the first member forwards", "[router]")
 {
     fleet first;
     first.health.setPeers(first.peers(), start);
     first.respond("b", start + 1s);
     first.health.onResponse({"c", 1}, {{8, 10, 9, 25ms}, {"c", 1}, true}, start + 2s);
-    first.health.onSilence({"d", 1}, start + 2s);
+    first.health.onNoResponse({"d", 1}, start + 2s);
     const peer_status own{{1, 0, 9, 10ms}, {"a", 1}, true};
-    const auto told = parseStatuses(encodeStatuses(own, first.health.known(start + 2s)));
-    REQUIRE(told.size() == 4);
-    CHECK(told[0].status.upstream == upstream_id{"a", 1});
-    CHECK(told[1].age == 1s);
+    const auto forwarded =
+        parseStatuses(encodeStatuses(own, first.health.peerStatuses(start + 2s)));
+    REQUIRE(forwarded.size() == 4);
+    CHECK(forwarded[0].status.upstream == upstream_id{"a", 1});
+    CHECK(forwarded[1].age == 1s);
 
     fleet other;
     other.members = {member("a"), member("c"), member("d"), member("e")};
     other.self = member("b");
     other.health.setPeers(other.peers(), start);
-    for (const reported_status &reported : told) {
-        other.health.onReported(reported, start + 2s);
+    for (const forwarded_status &reported : forwarded) {
+        other.health.onForwardedStatus(reported, start + 2s);
     }
     const auto view = other.health.view(&other.self, start + 2s);
     REQUIRE(view.loads.size() == 2);
     CHECK(view.loads[1].id.name == "c");
     CHECK(view.loads[1].utilization == Approx(2.0));
     CHECK(view.loads[1].meanServiceTime == 25ms);
-    // The silent one is left out; the one that was not asked yet is believed.
+    // The unresponsive peer is not live; the peer that was not polled yet counts as live.
     CHECK(view.live.size() == 4);
     CHECK(other.health.isUnreachable({"d", 1}, start + 2s));
-    // Older news does not replace newer, and ends no silence that was noticed since.
+    // An older status does not replace a newer one, nor does it end an unresponsiveness noticed
+    // since.
     other.health.onResponse({"c", 1}, {{0, 0, 9, 25ms}, {"c", 1}, false}, start + 2s + 100ms);
-    other.health.onReported(told[2], start + 2s);
+    other.health.onForwardedStatus(forwarded[2], start + 2s);
     CHECK(other.health.view(&other.self, start + 2s).loads.size() == 1);
 }
 
-TEST_CASE("malformed statuses of a peer are left out", "[router]")
+TEST_CASE("malformed statuses of a peer are skipped", "[router]")
 {
     const std::string good = "1,2,3,4;i;1;1;5;0";
     CHECK(parseStatuses(good + "\n" + good).size() == 2);
@@ -218,35 +220,35 @@
     CHECK(parseStatuses(bad + "\n" + good).size() == 1);
 }
 
-// Load pattern: a key becomes hot. Its rate is known in half a second, whatever the time between
-// two looks at it.
-TEST_CASE("rates follow the requests of about half a second", "[router]")
+// Load pattern: a key becomes hot. Its rate is known within half a second, at any interval between
+// two updates.
+TEST_CASE("rates decay with a time constant of half a second", "[router]")
 {
     const milliseconds step = GENERATE(50ms, 100ms, 1000ms);
     key_rates rates;
     steady_time now = start;
-    rates.advance(now);
-    const auto pass = [&](milliseconds time, int perSecond) {
+    rates.update(now);
+    const auto advance = [&](milliseconds time, int perSecond) {
         for (const steady_time end = now + time; now < end;) {
             now += step;
             for (int i = 0; i < perSecond * step / 1000ms; ++i) {
                 rates.count(7);
             }
-            rates.advance(now);
+            rates.update(now);
         }
     };
-    pass(1000ms, 60);
+    advance(1000ms, 60);
     CHECK(rates.rate(7) == Approx(60 * 0.865).epsilon(0.01));
-    pass(5s, 60);
+    advance(5s, 60);
     CHECK(rates.rate(7) == Approx(60).epsilon(0.01));
-    pass(1000ms, 0);
+    advance(1000ms, 0);
     CHECK(rates.rate(7) == Approx(60 * 0.135).epsilon(0.01));
-    pass(20s, 0);
+    advance(20s, 0);
     CHECK(rates.rate(7) == 0);
     CHECK(rates.rate(8) == 0);
 }
 
-TEST_CASE("settings are checked as a whole", "[router]")
+TEST_CASE("all settings are validated", "[router]")
 {
     const std::string valid = "host-name = h\navailability-zone = z\nservice = s\n"
                               "caller-address = 127.0.0.1:1\npeer-address = 127.0.0.1:2\n"
@@ -257,7 +259,7 @@
     REQUIRE(settings.ok());
     CHECK(settings->reportInterval == 870ms);
     CHECK(settings->retrySlack == 60);
-    const auto [line, word] = GENERATE(table<std::string, std::string>({
+    const auto [line, expectedText] = GENERATE(table<std::string, std::string>({
         {"service = t\n", "given twice"},
         {"colour = red\n", "unknown setting"},
         {"max-hold = 10\n", "max-hold: invalid"},
@@ -268,8 +270,8 @@
         {"processor-share = much\n", "processor-share: invalid"},
         {"processor-speed = -1\n", "processor-speed: invalid"},
     }));
-    const auto refused = parseRouterSettings(valid + line);
-    CHECK(std::string(refused.status().message()).find(word) != std::string::npos);
+    const auto rejected = parseRouterSettings(valid + line);
+    CHECK(std::string(rejected.status().message()).find(expectedText) != std::string::npos);
     CHECK(std::string(parseRouterSettings("").status().message()).find("service: missing")
           != std::string::npos);
 }
--- a/src/persimmonrail/router/tests/range_release_test.cpp
+++ b/src/persimmonrail/router/tests/range_release_test.cpp
@@ -10,46 +10,47 @@
 
 namespace {
 
-std::vector<release_order> ordersFor(size_t count)
+std::vector<release_request> requestsFor(size_t count)
 {
-    std::vector<release_order> orders;
+    std::vector<release_request> requests;
     for (size_t i = 0; i < count; ++i) {
         const auto key = static_cast<shard_key>(i * 10);
-        orders.push_back({{{key, key + 9}, 5, ""}, {"t" + std::to_string(i), 1}});
+        requests.push_back({{{key, key + 9}, 5, ""}, {"t" + std::to_string(i), 1}});
     }
-    return orders;
+    return requests;
 }
 
 } // namespace
 
-// Load pattern: a hot owner gives several ranges, on each of which requests run. One release after
-// the other would leave the keys unserved for the sum of their waits.
-TEST_CASE("releases wait at the same time", "[router]")
+// Load pattern: an overloaded owner moves several ranges that all have running requests. Releases
+// one after the other would leave the keys unserved for the sum of the waits.
+TEST_CASE("releases run concurrently", "[router]")
 {
     std::mutex mutex;
     std::condition_variable changed;
-    size_t begun = 0;
-    bool allMet = true;
+    size_t startedReleases = 0;
+    bool haveAllStarted = true;
     grant_api grants;
     grants.release = [&](const std::string &, key_interval keys,
                          uint64_t) -> absl::StatusOr<std::string> {
         std::unique_lock lock(mutex);
-        ++begun;
+        ++startedReleases;
         changed.notify_all();
-        allMet = changed.wait_for(lock, 10s, [&] { return begun == 6; }) && allMet;
+        haveAllStarted =
+            changed.wait_for(lock, 10s, [&] { return startedReleases == 6; }) && haveAllStarted;
         return "h" + std::to_string(keys.first);
     };
-    const release_outcome outcome = releaseAll(grants, "127.0.0.1:1", ordersFor(6));
-    CHECK(allMet);
+    const release_outcome outcome = releaseAll(grants, "127.0.0.1:1", requestsFor(6));
+    CHECK(haveAllStarted);
     CHECK(outcome.failures.empty());
     REQUIRE(outcome.released.size() == 6);
     for (size_t i = 0; i < 6; ++i) {
-        CHECK(outcome.released[i].target.name == "t" + std::to_string(i));
+        CHECK(outcome.released[i].newOwner.name == "t" + std::to_string(i));
         CHECK(outcome.released[i].handover == "h" + std::to_string(i * 10));
     }
 }
 
-TEST_CASE("only what certainly is released is given on", "[router]")
+TEST_CASE("only certainly released ranges are reported as released", "[router]")
 {
     grant_api grants;
     grants.release = [](const std::string &, key_interval keys,
@@ -60,10 +61,10 @@
         case 1:
             return absl::FailedPreconditionError("connection refused");
         default:
-            return absl::UnknownError("no answer");
+            return absl::UnknownError("no response");
         }
     };
-    const release_outcome outcome = releaseAll(grants, "127.0.0.1:1", ordersFor(30));
+    const release_outcome outcome = releaseAll(grants, "127.0.0.1:1", requestsFor(30));
     CHECK(outcome.released.size() == 20);
     CHECK(outcome.failures.size() == 10);
     CHECK(outcome.released[1].handover.empty());
--- a/src/persimmonrail/router/tests/store_proxy_test.cpp
+++ b/src/persimmonrail/router/tests/store_proxy_test.cpp
@@ -11,31 +11,31 @@
 
 namespace {
 
-// A store of one process; `fault` is what each call ends with while it is not ok.
+// An in-memory store; every call fails with `error` unless it is OK.
 struct memory_store
 {
     std::map<std::string, stored_object> objects;
     uint64_t revision = 0;
-    absl::Status fault;
+    absl::Status error;
     int calls = 0;
 
-    object_api api()
+    object_api makeApi()
     {
-        object_api made;
-        made.get = [this](const std::string &key) -> absl::StatusOr<stored_object> {
+        object_api api;
+        api.get = [this](const std::string &key) -> absl::StatusOr<stored_object> {
             ++calls;
-            if (!fault.ok()) {
-                return fault;
+            if (!error.ok()) {
+                return error;
             }
             const auto found = objects.find(key);
             return found == objects.end() ? absl::NotFoundError(key)
                                           : absl::StatusOr<stored_object>(found->second);
         };
-        made.put = [this](const std::string &key, uint64_t version,
-                          const std::string &value) -> absl::StatusOr<uint64_t> {
+        api.put = [this](const std::string &key, uint64_t version,
+                         const std::string &value) -> absl::StatusOr<uint64_t> {
             ++calls;
-            if (!fault.ok()) {
-                return fault;
+            if (!error.ok()) {
+                return error;
             }
             if (objects[key].version != version) {
                 return absl::AbortedError("version differs");
@@ -43,10 +43,10 @@
             objects[key] = {key, ++revision, false, value};
             return revision;
         };
-        made.list = [this](const std::string &) -> absl::StatusOr<object_list> {
+        api.list = [this](const std::string &) -> absl::StatusOr<object_list> {
             ++calls;
-            if (!fault.ok()) {
-                return fault;
+            if (!error.ok()) {
+                return error;
             }
             object_list list{revision, {}};
             for (const auto &[key, object] : objects) {
@@ -54,7 +54,7 @@
             }
             return list;
         };
-        return made;
+        return api;
     }
 };
 
@@ -72,10 +72,10 @@
         peer = std::move(*http_server::listen({}, [this](server_exchange &exchange) {
             std::string body;
             exchange.readAll(body, 1 << 20, std::chrono::steady_clock::now() + 5s);
-            exchange.respond(200, serveStoreProxy(store.api(), body), "application/json");
+            exchange.respond(200, serveStoreProxy(store.makeApi(), body), "application/json");
         }));
         proxied = makeProxiedStore(
-            own.api(),
+            own.makeApi(),
             {[this] {
                  return std::vector<std::string>{"127.0.0.1:1", peer->address()};
              },
@@ -86,51 +86,52 @@
 
 } // namespace
 
-// Guards against an owner that loses its keys, or can't give them away, because only its own way
-// to the store is cut.
-TEST_CASE("calls go through a peer while the direct way fails", "[router]")
+// Guards against an owner that loses its keys, or can't move them, because only its own path to the
+// store is cut.
+TEST_CASE("calls go through a peer while the direct path fails", "[router]")
 {
     proxy_site site;
-    site.own.fault = GENERATE(absl::UnavailableError("cut"), absl::ResourceExhaustedError("429"));
+    site.own.error = GENERATE(absl::UnavailableError("cut"), absl::ResourceExhaustedError("429"));
     CHECK(*site.proxied.put("fleet/x", 0, R"({"a":"b"})") == 1);
     CHECK(site.proxied.get("fleet/x")->value == R"({"a":"b"})");
     CHECK(site.proxied.list("fleet/")->objects.size() == 1);
     CHECK(absl::IsAborted(site.proxied.put("fleet/x", 7, "{}").status()));
     CHECK(absl::IsNotFound(site.proxied.get("fleet/y").status()));
-    // The direct way is not tried at each call.
+    // The direct path is not tried at each call.
     CHECK(site.own.calls == 1);
-    site.own.fault = absl::OkStatus();
+    site.own.error = absl::OkStatus();
     site.now += 1s;
     CHECK(absl::IsNotFound(site.proxied.get("fleet/x").status()));
     CHECK(site.own.calls == 2);
     CHECK(site.changes == std::vector<bool>{false, true});
 }
 
-// Guards against a write that takes effect twice, or that is taken for one without effect.
-TEST_CASE("a write whose fate is unknown is not sent another way", "[router]")
+// Guards against a write that takes effect twice, or that is wrongly reported as having had no
+// effect.
+TEST_CASE("a write with an unknown outcome is not sent by another path", "[router]")
 {
     proxy_site site;
-    site.own.fault = absl::UnknownError("no answer");
+    site.own.error = absl::UnknownError("no response");
     CHECK(absl::IsUnknown(site.proxied.put("fleet/x", 0, "{}").status()));
     CHECK(site.store.calls == 0);
 }
 
-TEST_CASE("without any way the direct failure is told", "[router]")
+TEST_CASE("without any path the direct error is returned", "[router]")
 {
     proxy_site site;
-    site.own.fault = absl::UnavailableError("cut");
-    site.store.fault = absl::UnavailableError("down");
+    site.own.error = absl::UnavailableError("cut");
+    site.store.error = absl::UnavailableError("down");
     CHECK(absl::IsUnavailable(site.proxied.get("fleet/x").status()));
     CHECK(absl::IsUnavailable(site.proxied.list("fleet/").status()));
 }
 
-TEST_CASE("malformed calls of a peer are answered with an error", "[router]")
+TEST_CASE("malformed calls of a peer return an error", "[router]")
 {
     memory_store store;
     const std::string body =
         GENERATE("", "[]", "{}", R"({"operation":"drop","key":"a","version":0,"value":""})",
                  R"({"operation":"put","key":"a","version":"x","value":""})");
-    const std::string response = serveStoreProxy(store.api(), body);
+    const std::string response = serveStoreProxy(store.makeApi(), body);
     CHECK(response.find("\"code\":3") != std::string::npos);
     CHECK(store.calls == 0);
 }
