--- a/src/persimmonrail/balance/coordinator.cpp
+++ b/src/persimmonrail/balance/coordinator.cpp
@@ -7,10 +7,11 @@
 namespace {
 
 constexpr std::string_view configPrefix = "config/";
-// A confirmation is acted upon only within this time.
-constexpr std::chrono::seconds confirmationAge{30};
-// Pings that are due within this time are sent now, so that they don't slip by a whole call.
-constexpr milliseconds pingSlack{100};
+// A confirmation that a member is unresponsive is valid for this time.
+constexpr std::chrono::seconds maxConfirmationAge{30};
+// Pings that are due within this time are sent immediately. Otherwise they would wait for the next
+// call of duePings().
+constexpr milliseconds maxPingAdvance{100};
 
 } // namespace
 
@@ -18,7 +19,7 @@
     : m_self(std::move(self))
     , m_availabilityZone(std::move(availabilityZone))
     , m_hooks(std::move(hooks))
-    , m_fallback(m_self.name, "coordinator", 1)
+    , m_fleetElection(m_self.name, "coordinator", 1)
 { }
 
 void coordinator::setView(std::shared_ptr<const fleet_view> view, steady_time now)
@@ -26,12 +27,12 @@
     m_view = std::move(view);
     const auto *self = m_view->findMember(m_self);
     const std::string service = self == nullptr ? std::string() : self->service;
-    if (service != m_service || (!service.empty() && !m_election)) {
+    if (service != m_service || (!service.empty() && !m_serviceElection)) {
         m_service = service;
-        m_election.reset();
-        m_weights.clear();
+        m_serviceElection.reset();
+        m_requestRates.clear();
         if (!service.empty()) {
-            m_election.emplace(m_self.name, "coordinator/" + service, 1);
+            m_serviceElection.emplace(m_self.name, "coordinator/" + service, 1);
         }
     }
     std::vector<const member_record *> all;
@@ -39,11 +40,11 @@
     for (const auto &[name, member] : m_view->members) {
         all.push_back(&member);
     }
-    m_fallback.setMembers(all, now);
+    m_fleetElection.setMembers(all, now);
     std::vector<instance_id> ids;
-    if (m_election) {
+    if (m_serviceElection) {
         const auto members = m_view->membersOf(m_service);
-        m_election->setMembers(members, now);
+        m_serviceElection->setMembers(members, now);
         std::transform(members.begin(), members.end(), std::back_inserter(ids),
                        [](const member_record *member) { return member->id; });
     }
@@ -51,52 +52,53 @@
         m_serviceMembers = std::move(ids);
         m_membersChangedAt = now;
     }
-    std::erase_if(m_members,
+    std::erase_if(m_memberStates,
                   [&](const auto &entry) { return m_view->findMember(entry.first) == nullptr; });
-    std::erase_if(m_electionPings,
+    std::erase_if(m_lastElectionPings,
                   [&](const auto &entry) { return m_view->members.count(entry.first) == 0; });
-    std::erase_if(m_writes, [&](const auto &entry) {
+    std::erase_if(m_pendingWrites, [&](const auto &entry) {
         const auto record = m_view->records.find(entry.first);
         return record != m_view->records.end() && record->second.version > entry.second.version;
     });
 }
 
-void coordinator::setWeights(std::map<std::string, double, std::less<>> weights)
+void coordinator::setRequestRates(std::map<std::string, double, std::less<>> requestRates)
 {
-    m_weights = std::move(weights);
+    m_requestRates = std::move(requestRates);
 }
 
-bool coordinator::coordinates(std::string_view service, steady_time now) const
+bool coordinator::isCoordinatorOf(std::string_view service, steady_time now) const
 {
-    if (m_election && service == m_service) {
-        return m_election->holdsRole(now);
+    if (m_serviceElection && service == m_service) {
+        return m_serviceElection->holdsRole(now);
     }
     return m_view && (service.empty() || m_view->membersOf(service).empty())
-        && m_fallback.holdsRole(now);
+        && m_fleetElection.holdsRole(now);
 }
 
-std::vector<const member_record *> coordinator::watched(steady_time now) const
+std::vector<const member_record *> coordinator::monitoredMembers(steady_time now) const
 {
     std::vector<const member_record *> members;
     if (!m_view) {
         return members;
     }
-    const bool own = !m_service.empty() && coordinates(m_service, now);
-    const bool withoutService = coordinates("", now);
+    const bool coordinatesOwnService = !m_service.empty() && isCoordinatorOf(m_service, now);
+    const bool coordinatesDaemonsWithoutService = isCoordinatorOf("", now);
     for (const auto &[name, member] : m_view->members) {
-        const bool mine =
-            member.service.empty() ? withoutService : own && member.service == m_service;
-        if (mine && name != m_self.name) {
+        const bool isMonitored = member.service.empty()
+            ? coordinatesDaemonsWithoutService
+            : coordinatesOwnService && member.service == m_service;
+        if (isMonitored && name != m_self.name) {
             members.push_back(&member);
         }
     }
     return members;
 }
 
-milliseconds coordinator::pingInterval(size_t members) const
+milliseconds coordinator::pingInterval(size_t memberCount) const
 {
-    return std::clamp(memberPingPerMember * static_cast<int64_t>(members), minMemberPing,
-                      maxMemberPing);
+    return std::clamp(pingIntervalPerMember * static_cast<int64_t>(memberCount),
+                      minMemberPingInterval, maxMemberPingInterval);
 }
 
 std::vector<member_record> coordinator::duePings(steady_time now)
@@ -104,38 +106,41 @@
     std::map<std::string_view, member_record> due;
     const auto addElection = [&](const rendezvous_election &election) {
         for (const auto &target : election.pingTargets()) {
-            auto &pingedAt = m_electionPings.try_emplace(target.id.name).first->second;
-            if (now - pingedAt + pingSlack >= electionPingInterval) {
-                pingedAt = now;
+            auto &lastPingAt = m_lastElectionPings.try_emplace(target.id.name).first->second;
+            if (now - lastPingAt + maxPingAdvance >= electionPingInterval) {
+                lastPingAt = now;
                 due.try_emplace(m_view->members.find(target.id.name)->first, target);
             }
         }
     };
-    addElection(m_fallback);
-    if (m_election) {
-        addElection(*m_election);
+    addElection(m_fleetElection);
+    if (m_serviceElection) {
+        addElection(*m_serviceElection);
     }
-    const auto members = watched(now);
+    const auto members = monitoredMembers(now);
     const auto interval = pingInterval(members.size());
-    std::set<instance_id> watchedIds;
+    std::set<instance_id> monitoredIds;
     for (const auto *member : members) {
-        watchedIds.insert(member->id);
-        const auto [entry, isNew] = m_members.try_emplace(member->id);
+        monitoredIds.insert(member->id);
+        const auto [entry, isNew] = m_memberStates.try_emplace(member->id);
         auto &state = entry->second;
         if (isNew) {
-            // Spreads the pings over the interval and starts the silence now.
+            // The phase spreads the pings of the members over the interval. The time without reply
+            // is measured from now on.
             const auto phase = milliseconds(rendezvousWeight(member->id.name, "ping")
                                             % static_cast<uint64_t>(interval.count()));
-            state.pingedAt = now - phase;
-            state.heardAt = now;
+            state.lastPingAt = now - phase;
+            state.lastAliveAt = now;
         }
-        if (now - state.pingedAt + pingSlack >= interval) {
-            state.pingedAt = now;
+        if (now - state.lastPingAt + maxPingAdvance >= interval) {
+            state.lastPingAt = now;
             due.try_emplace(member->id.name, *member);
         }
     }
-    // A daemon that loses the role and regains it starts to measure the silence anew.
-    std::erase_if(m_members, [&](const auto &entry) { return !watchedIds.contains(entry.first); });
+    // The daemon forgets the states of members that it no longer monitors. If it monitors a member
+    // again, the time without reply is measured anew.
+    std::erase_if(m_memberStates,
+                  [&](const auto &entry) { return !monitoredIds.contains(entry.first); });
     std::vector<member_record> result;
     result.reserve(due.size());
     for (auto &[name, member] : due) {
@@ -146,32 +151,33 @@
 
 void coordinator::recordResponse(const instance_id &member, steady_time now)
 {
-    m_fallback.recordResponse(member.name, now);
-    if (m_election) {
-        m_election->recordResponse(member.name, now);
+    m_fleetElection.recordResponse(member.name, now);
+    if (m_serviceElection) {
+        m_serviceElection->recordResponse(member.name, now);
     }
-    const auto entry = m_members.find(member);
-    if (entry != m_members.end()) {
-        entry->second.heardAt = now;
-        entry->second.answered = true;
-        entry->second.helpersAsked = 0;
-        entry->second.confirmedAt.reset();
+    const auto entry = m_memberStates.find(member);
+    if (entry != m_memberStates.end()) {
+        entry->second.lastAliveAt = now;
+        entry->second.hasReplied = true;
+        entry->second.confirmationRequests = 0;
+        entry->second.unresponsiveConfirmedAt.reset();
     }
 }
 
 void coordinator::noteConfirmation(const instance_id &helper, const instance_id &suspect,
-                                   bool answered, steady_time now)
+                                   bool hasReplied, steady_time now)
 {
-    const auto entry = m_members.find(suspect);
-    if (entry == m_members.end() || helper == suspect || helper == m_self) {
+    const auto entry = m_memberStates.find(suspect);
+    if (entry == m_memberStates.end() || helper == suspect || helper == m_self) {
         return;
     }
-    if (answered) {
-        // Only the path from here to the member is broken; it stays a member.
-        entry->second.heardAt = now;
-        entry->second.confirmedAt.reset();
+    if (hasReplied) {
+        // Only the network path from this daemon to the suspect is broken, so the suspect stays a
+        // member.
+        entry->second.lastAliveAt = now;
+        entry->second.unresponsiveConfirmedAt.reset();
     } else {
-        entry->second.confirmedAt = now;
+        entry->second.unresponsiveConfirmedAt = now;
     }
 }
 
@@ -180,31 +186,32 @@
     if (!m_view) {
         return;
     }
-    place(now);
+    updatePlacement(now);
     acceptDocuments(now);
-    checkMembers(now);
+    checkUnresponsiveMembers(now);
 }
 
-milliseconds coordinator::silenceAllowed() const
+milliseconds coordinator::unresponsiveTimeout() const
 {
-    return pingInterval(m_serviceMembers.size()) + lateReply;
+    return pingInterval(m_serviceMembers.size()) + pingReplyTimeout;
 }
 
-bool coordinator::knowsConditions(steady_time now) const
+bool coordinator::areConditionsKnown(steady_time now) const
 {
     return std::all_of(m_serviceMembers.begin(), m_serviceMembers.end(), [&](const auto &id) {
-        const auto entry = m_members.find(id);
+        const auto entry = m_memberStates.find(id);
         return id == m_self
-            || (entry != m_members.end()
-                && (entry->second.answered || now - entry->second.heardAt > silenceAllowed()));
+            || (entry != m_memberStates.end()
+                && (entry->second.hasReplied
+                    || now - entry->second.lastAliveAt > unresponsiveTimeout()));
     });
 }
 
 member_condition coordinator::conditionOf(const member_record &member, steady_time now) const
 {
-    const auto entry = m_members.find(member.id);
-    if (entry != m_members.end() && now - entry->second.heardAt > silenceAllowed()) {
-        return member_condition::Silent;
+    const auto entry = m_memberStates.find(member.id);
+    if (entry != m_memberStates.end() && now - entry->second.lastAliveAt > unresponsiveTimeout()) {
+        return member_condition::Unresponsive;
     }
     return m_hooks.placement.condition ? m_hooks.placement.condition(member)
                                        : member_condition::Available;
@@ -213,27 +220,28 @@
 placement_options coordinator::placementOptions(steady_time now) const
 {
     placement_options options;
-    if (now - m_loadPlanAt >= loadPlanInterval) {
-        options.weights = m_weights;
+    if (now - m_lastLoadPlanAt >= minLoadPlanInterval) {
+        options.requestRates = m_requestRates;
     }
-    for (const auto &[partition, write] : m_writes) {
-        const bool pending = write.isMove && now - write.at < coordinatorRetryInterval;
-        options.movesUnderWay -= pending && options.movesUnderWay > 0 ? 1 : 0;
+    for (const auto &[partition, write] : m_pendingWrites) {
+        const bool isPendingMove = write.isMove && now - write.startedAt < coordinatorRetryInterval;
+        options.maxConcurrentMoves -= isPendingMove && options.maxConcurrentMoves > 0 ? 1 : 0;
     }
     return options;
 }
 
-void coordinator::place(steady_time now)
+void coordinator::updatePlacement(steady_time now)
 {
-    if (m_service.empty() || !coordinates(m_service, now)) {
+    if (m_service.empty() || !isCoordinatorOf(m_service, now)) {
         return;
     }
     const bool hasRecords = m_view->recordsByService.count(m_service) > 0;
-    if (!hasRecords && now - m_membersChangedAt < initialSettleTime) {
+    if (!hasRecords && now - m_membersChangedAt < initialPlacementDelay) {
         return;
     }
-    // A member that joins may have failed since; nothing is moved to it before it has answered.
-    if (!knowsConditions(now)) {
+    // A member may have failed since it joined, so no partition is moved to a member that has not
+    // replied to a ping.
+    if (!areConditionsKnown(now)) {
         return;
     }
     auto placement = m_hooks.placement;
@@ -241,15 +249,16 @@
         return conditionOf(member, now);
     };
     for (const auto &change : planPlacement(*m_view, m_service, placement, placementOptions(now))) {
-        const auto pending = m_writes.find(change.record.partition);
-        if (pending != m_writes.end() && now - pending->second.at < coordinatorRetryInterval) {
+        const auto pending = m_pendingWrites.find(change.record.partition);
+        if (pending != m_pendingWrites.end()
+            && now - pending->second.startedAt < coordinatorRetryInterval) {
             continue;
         }
         const bool isMove = change.kind == record_change::change_kind::Move;
-        m_writes.insert_or_assign(change.record.partition,
-                                  pending_write{change.expectedVersion, isMove, now});
-        if (change.loadDriven) {
-            m_loadPlanAt = now;
+        m_pendingWrites.insert_or_assign(change.record.partition,
+                                         pending_write{change.expectedVersion, isMove, now});
+        if (change.isLoadDriven) {
+            m_lastLoadPlanAt = now;
         }
         m_hooks.writeRecord(change);
     }
@@ -265,11 +274,12 @@
             continue;
         }
         const std::string service = config.key.substr(configPrefix.size());
-        if (service.empty() || !coordinates(service, now)) {
+        if (service.empty() || !isCoordinatorOf(service, now)) {
             continue;
         }
-        auto &pending = m_acceptances[service];
-        if (pending.version == config.version && now - pending.at < coordinatorRetryInterval) {
+        auto &pending = m_pendingAcceptances[service];
+        if (pending.version == config.version
+            && now - pending.startedAt < coordinatorRetryInterval) {
             continue;
         }
         pending = {config.version, false, now};
@@ -277,50 +287,49 @@
     }
 }
 
-void coordinator::checkMembers(steady_time now)
+void coordinator::checkUnresponsiveMembers(steady_time now)
 {
-    for (const auto *member : watched(now)) {
-        const auto entry = m_members.find(member->id);
-        if (entry != m_members.end() && now - entry->second.heardAt >= memberSilence) {
-            checkSilentMember(*member, entry->second, now);
+    for (const auto *member : monitoredMembers(now)) {
+        const auto entry = m_memberStates.find(member->id);
+        if (entry != m_memberStates.end()
+            && now - entry->second.lastAliveAt >= memberRemovalTimeout) {
+            confirmOrRemove(*member, entry->second, now);
         }
     }
 }
 
-void coordinator::checkSilentMember(const member_record &member, member_state &state,
-                                    steady_time now)
+void coordinator::confirmOrRemove(const member_record &member, member_state &state, steady_time now)
 {
-    if (state.confirmedAt && now - *state.confirmedAt < confirmationAge) {
-        if (now - state.removalAt >= coordinatorRetryInterval) {
-            state.removalAt = now;
+    if (state.unresponsiveConfirmedAt
+        && now - *state.unresponsiveConfirmedAt < maxConfirmationAge) {
+        if (now - state.lastRemovalAt >= coordinatorRetryInterval) {
+            state.lastRemovalAt = now;
             m_hooks.removeMember(member);
         }
         return;
     }
-    if (now - state.askedAt < coordinatorRetryInterval) {
+    if (now - state.lastConfirmationRequestAt < coordinatorRetryInterval) {
         return;
     }
-    if (const auto *helper = chooseHelper(member, state.helpersAsked)) {
-        state.askedAt = now;
-        ++state.helpersAsked;
+    if (const auto *helper = chooseHelper(member, state.confirmationRequests)) {
+        state.lastConfirmationRequestAt = now;
+        ++state.confirmationRequests;
         m_hooks.askConfirmation(*helper, member);
     }
 }
 
-// Prefers daemons of another availability zone. Each is asked twice, since it answers the first
-// request before it has pinged the suspect itself; then the next one is asked.
 const member_record *coordinator::chooseHelper(const member_record &suspect, size_t attempt) const
 {
-    std::vector<const member_record *> others;
-    std::vector<const member_record *> sameZone;
+    std::vector<const member_record *> inOtherZones;
+    std::vector<const member_record *> inSameZone;
     for (const auto &[name, member] : m_view->members) {
         if (name == m_self.name || name == suspect.id.name) {
             continue;
         }
-        auto &group = member.availabilityZone != m_availabilityZone ? others : sameZone;
+        auto &group = member.availabilityZone != m_availabilityZone ? inOtherZones : inSameZone;
         group.push_back(&member);
     }
-    const auto &helpers = others.empty() ? sameZone : others;
+    const auto &helpers = inOtherZones.empty() ? inSameZone : inOtherZones;
     if (helpers.empty()) {
         return nullptr;
     }
--- a/src/persimmonrail/balance/coordinator.h
+++ b/src/persimmonrail/balance/coordinator.h
@@ -14,126 +14,161 @@
 
 namespace persimmonrail {
 
-// A member without an answer for this long is removed, once another daemon confirms it.
-inline constexpr std::chrono::seconds memberSilence{60};
+// A member that has not replied to pings for this time is removed once another daemon confirms that
+// the member is unresponsive.
+inline constexpr std::chrono::seconds memberRemovalTimeout{60};
 // The coordinator pings each member of its service once per interval. The interval grows with the
-// service, so that a coordinator sends at most 100 pings a second up to 1,000 members.
-inline constexpr milliseconds memberPingPerMember{10};
-inline constexpr milliseconds minMemberPing{1000};
-inline constexpr milliseconds maxMemberPing{10000};
-// A member whose answer to a ping is late by this time is given no partitions. A failover takes a
-// little over 1 s, and the imbalance it leaves must not be evened out by moves back to a member
-// that is paused; a wrong belief only delays a placement.
-inline constexpr milliseconds lateReply{500};
-// A service without records is placed once its members have not changed for this time, so that
-// instances that start together share the first placement without moves.
-inline constexpr std::chrono::seconds initialSettleTime{2};
-// Least time between load-driven plans of one service. It lets the effect of the last move show
-// in the observed rates.
-inline constexpr std::chrono::seconds loadPlanInterval{30};
-// A write, acceptance or confirmation that has shown no effect is tried again after this time.
+// number of members, so that a coordinator of up to 1,000 members sends at most 100 pings a second.
+inline constexpr milliseconds pingIntervalPerMember{10};
+inline constexpr milliseconds minMemberPingInterval{1000};
+inline constexpr milliseconds maxMemberPingInterval{10000};
+// A member that has not replied to a ping within this time receives no partitions. A failover takes
+// a little over 1 s and leaves an imbalance, which must not be removed by moves back to a member
+// that is paused. If a member is wrongly considered unresponsive, only its placement is delayed.
+inline constexpr milliseconds pingReplyTimeout{500};
+// The partitions of a service without records are placed once the service's members have not
+// changed for this time. Instances that start together then share the first placement without
+// moves.
+inline constexpr std::chrono::seconds initialPlacementDelay{2};
+// Minimum interval between load-driven plans for one service. The observed request rates need this
+// time to show the effect of the last move.
+inline constexpr std::chrono::seconds minLoadPlanInterval{30};
+// A record write, document acceptance, confirmation request or member removal without visible
+// effect is repeated after this time.
 inline constexpr std::chrono::seconds coordinatorRetryInterval{5};
 
-// The duties of a service's coordinator: placement, acceptance of documents, removal of failed
-// members. Every daemon runs one; it acts for its upstream's service while it has the highest rank
-// among the service's members that answer. A second election among all members fills the role for
-// services without members and for daemons without upstream. A wrong belief costs only a conflict,
-// since all writes are conditional.
+// Coordinates a service: places its partitions, accepts its documents and removes its failed
+// members. Every daemon runs a coordinator. The coordinator acts for the service of the local
+// upstream while its daemon has the highest rendezvous rank among the responsive members of the
+// service. A second election among all members chooses the coordinator for services without members
+// and for daemons without an upstream. If two daemons both act as coordinator, their writes may
+// conflict but do no harm, since all writes are conditional.
 //
-// Pure but for its hooks; belongs to the control thread.
+// Reads no clock and has no side effects other than its hooks. To be used on the control thread
+// only.
 class coordinator
 {
 public:
+    // Access to the platform and to other daemons. All hooks are called from tick().
     struct hooks
     {
         placement_hooks placement;
-        // Writes asynchronously; the result shows in a later view.
+        // Starts the conditional write of a record. The result becomes visible in a later view.
         std::function<void(const record_change &change)> writeRecord;
-        // Returns the "config/<service>" objects that are newer than what was last evaluated.
+        // Returns the "config/<service>" objects whose version has not been evaluated yet.
         std::function<std::vector<stored_object>()> newerDocuments;
         // Evaluates the document and writes "accepted/<service>" and "status/<service>".
         std::function<void(const std::string &service, const stored_object &config)> acceptDocument;
-        // Asks `helper` whether it gets an answer from `suspect`; the result goes to
-        // noteConfirmation().
+        // Asks `helper` to ping `suspect`. The result is passed to noteConfirmation().
         std::function<void(const member_record &helper, const member_record &suspect)>
             askConfirmation;
-        // Deletes the member's record if it still names this incarnation.
+        // Deletes the member's object if the object still names this incarnation.
         std::function<void(const member_record &member)> removeMember;
     };
 
     coordinator(instance_id self, std::string availabilityZone, hooks hooks);
 
-    // To be called when the view has changed.
+    // Sets the view of the fleet and updates the elections. To be called for each new view.
     void setView(std::shared_ptr<const fleet_view> view, steady_time now);
-    // Requests a second by partition of the own service, as observed by the owners.
-    void setWeights(std::map<std::string, double, std::less<>> weights);
+    // Sets the requests per second by partition of the local upstream's service, as observed by the
+    // owners of the partitions.
+    void setRequestRates(std::map<std::string, double, std::less<>> requestRates);
 
-    // Members that are due for a ping at `now`; to be called every 250 ms or so.
+    // Returns the members to be pinged now and records the pings as sent. To be called about every
+    // 250 ms.
     std::vector<member_record> duePings(steady_time now);
+    // Records that a member replied to a ping.
     void recordResponse(const instance_id &member, steady_time now);
-    void noteConfirmation(const instance_id &helper, const instance_id &suspect, bool answered,
+    // Records whether `suspect` replied to a ping of `helper`. A result from the suspect or from
+    // this daemon is ignored.
+    void noteConfirmation(const instance_id &helper, const instance_id &suspect, bool hasReplied,
                           steady_time now);
 
-    // Acts on everything that is due; to be called about once a second.
+    // Performs the work that is due: placement, acceptance of documents and removal of failed
+    // members. To be called about once a second.
     void tick(steady_time now);
 
-    // Whether this daemon coordinates the service at `now`.
-    bool coordinates(std::string_view service, steady_time now) const;
+    // Returns whether this daemon is the coordinator of the service at `now`. The empty name stands
+    // for daemons without an upstream. The fleet-wide election decides for this name and for
+    // services without members.
+    bool isCoordinatorOf(std::string_view service, steady_time now) const;
 
 private:
-    // What the coordinator knows of a member that it pings.
+    // Failure detection state of a member that the coordinator pings.
     struct member_state
     {
-        steady_time pingedAt{};
-        // Last answer, or the time since when the member has been pinged.
-        steady_time heardAt{};
-        bool answered = false;
-        steady_time askedAt{};
-        size_t helpersAsked = 0;
-        // Set once a helper confirmed that the member doesn't answer.
-        std::optional<steady_time> confirmedAt;
-        steady_time removalAt{};
+        steady_time lastPingAt{};
+        // When the member was last known to be alive: the time of the last reply to this daemon or
+        // to a helper, or the time at which this daemon began to ping the member.
+        steady_time lastAliveAt{};
+        bool hasReplied = false;
+        steady_time lastConfirmationRequestAt{};
+        // Number of confirmation requests to helpers since the last reply to this daemon.
+        size_t confirmationRequests = 0;
+        // Time at which a helper last reported that the member does not reply; unset if the member
+        // has replied to this daemon or to a helper since.
+        std::optional<steady_time> unresponsiveConfirmedAt;
+        steady_time lastRemovalAt{};
     };
+    // A record write or a document acceptance whose effect is not visible yet.
     struct pending_write
     {
+        // Version of the record that the write expects, or of the document to be accepted.
         uint64_t version = 0;
+        // Whether the write plans a move of a partition.
         bool isMove = false;
-        steady_time at{};
+        steady_time startedAt{};
     };
 
-    // Members whose liveness this daemon is responsible for at `now`.
-    std::vector<const member_record *> watched(steady_time now) const;
-    milliseconds pingInterval(size_t members) const;
-    // Time without an answer after which a member is given no partitions.
-    milliseconds silenceAllowed() const;
-    // Whether each member of the own service has either answered or been silent for long enough.
-    bool knowsConditions(steady_time now) const;
+    // Returns the members whose failures this daemon must detect at `now`.
+    std::vector<const member_record *> monitoredMembers(steady_time now) const;
+    // Returns the interval between pings of one member if `memberCount` members are pinged.
+    milliseconds pingInterval(size_t memberCount) const;
+    // Returns the time without reply after which a member receives no partitions.
+    milliseconds unresponsiveTimeout() const;
+    // Returns whether each member of the local upstream's service has either replied or been
+    // unresponsive for unresponsiveTimeout().
+    bool areConditionsKnown(steady_time now) const;
     member_condition conditionOf(const member_record &member, steady_time now) const;
-    void place(steady_time now);
+    // Plans the changes that the service's placement needs and starts the writes.
+    void updatePlacement(steady_time now);
     placement_options placementOptions(steady_time now) const;
+    // Starts the acceptance of new documents of the services that this daemon coordinates.
     void acceptDocuments(steady_time now);
-    void checkMembers(steady_time now);
-    void checkSilentMember(const member_record &member, member_state &state, steady_time now);
+    // Handles all members that have not replied for memberRemovalTimeout.
+    void checkUnresponsiveMembers(steady_time now);
+    // Removes the member if a helper has confirmed that the member is unresponsive. Otherwise asks
+    // a helper for confirmation.
+    void confirmOrRemove(const member_record &member, member_state &state, steady_time now);
+    // Returns the daemon to be asked for the confirmation number `attempt`, counted from 0, or null
+    // if there is no other daemon. Prefers daemons in other availability zones than this daemon's.
+    // Each daemon is asked twice before the next one is asked: a daemon that replied to the first
+    // request before it had pinged the suspect can then give a reliable result.
     const member_record *chooseHelper(const member_record &suspect, size_t attempt) const;
 
     instance_id m_self;
     std::string m_availabilityZone;
     hooks m_hooks;
     std::shared_ptr<const fleet_view> m_view;
+    // Service of the local upstream; empty without an upstream.
     std::string m_service;
-    std::optional<rendezvous_election> m_election;
-    rendezvous_election m_fallback;
-    // Members of the own service, to notice a change.
+    // Election among the members of the local upstream's service; unset without an upstream.
+    std::optional<rendezvous_election> m_serviceElection;
+    // Election among all members of the fleet.
+    rendezvous_election m_fleetElection;
+    // Members of the local upstream's service in the current view, to detect changes.
     std::vector<instance_id> m_serviceMembers;
     steady_time m_membersChangedAt{};
-    std::map<instance_id, member_state> m_members;
-    std::map<std::string, steady_time, std::less<>> m_electionPings;
-    // By partition.
-    std::map<std::string, pending_write, std::less<>> m_writes;
-    // By service.
-    std::map<std::string, pending_write, std::less<>> m_acceptances;
-    std::map<std::string, double, std::less<>> m_weights;
-    steady_time m_loadPlanAt{};
+    std::map<instance_id, member_state> m_memberStates;
+    // Times of the last election pings, by instance name.
+    std::map<std::string, steady_time, std::less<>> m_lastElectionPings;
+    // Record writes, by partition.
+    std::map<std::string, pending_write, std::less<>> m_pendingWrites;
+    // Document acceptances, by service.
+    std::map<std::string, pending_write, std::less<>> m_pendingAcceptances;
+    // Requests per second, by partition.
+    std::map<std::string, double, std::less<>> m_requestRates;
+    steady_time m_lastLoadPlanAt{};
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/balance/hash_division.cpp
+++ b/src/persimmonrail/balance/hash_partitioning.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/balance/hash_division.h"
+#include "persimmonrail/balance/hash_partitioning.h"
 
 #include "persimmonrail/base/text.h"
 
@@ -8,7 +8,7 @@
 
 namespace persimmonrail {
 
-std::vector<hash_range> equalRanges(size_t count)
+std::vector<hash_range> divideHashSpace(size_t count)
 {
     std::vector<hash_range> ranges;
     ranges.reserve(count);
@@ -17,7 +17,7 @@
         return ranges;
     }
     const uint64_t width = lastHash / count;
-    // The ranges at the start take up the remainder, one hash each.
+    // The first `remainder` ranges are one hash larger than the others.
     const uint64_t remainder = lastHash % count + 1;
     uint64_t first = 0;
     for (size_t i = 0; i < count; ++i) {
--- a/src/persimmonrail/balance/placement_plan.cpp
+++ b/src/persimmonrail/balance/placement_plan.cpp
@@ -12,6 +12,7 @@
 constexpr size_t witnessesPerPartition = 3;
 constexpr size_t standbysPerPartition = 3;
 
+// Plans the record changes of one call of planPlacement().
 class planner
 {
 public:
@@ -23,17 +24,19 @@
         , m_options(options)
     { }
 
-    std::vector<record_change> plan(size_t partitions)
+    // Returns the changes for a service that is divided into `partitionCount` ranges. To be called
+    // only once.
+    std::vector<record_change> plan(size_t partitionCount)
     {
         collectMembers();
         collectRecords();
         if (!m_available.empty()) {
-            const bool isComplete = createRecords(partitions);
-            moveFromDraining();
-            // Numbers and loads mean nothing before all records exist.
-            if (isComplete) {
-                moveByNumber();
-                moveByLoad();
+            const bool hasAllRecords = createRecords(partitionCount);
+            moveFromDrainingOwners();
+            // Counts and loads can be compared only once all records exist.
+            if (hasAllRecords) {
+                balanceCounts();
+                balanceLoad();
             }
         }
         repairStandbys();
@@ -41,40 +44,46 @@
     }
 
 private:
-    // An available member with the records that it owns or is about to own.
-    struct holding
+    // An available member. Its count and load include partitions that are being moved to the member
+    // and exclude partitions that are being moved away.
+    struct available_member
     {
-        const member_record *member = nullptr;
-        size_t count = 0;
+        const member_record *memberRecord = nullptr;
+        size_t partitionCount = 0;
+        // Requests per second, summed over the partitions.
         double load = 0;
-        // Records that can be moved away.
-        std::vector<const versioned_record *> movable;
+        // Records of the member's partitions that can be moved to other members.
+        std::vector<const versioned_record *> movableRecords;
     };
-    // A load move; `back` is null unless it is an exchange.
+    // A move that takes load from a member: the partition of `outgoing` goes to the receiver. In an
+    // exchange, the partition of `incoming` comes from the receiver; otherwise `incoming` is null.
     struct load_move
     {
-        holding *receiver = nullptr;
-        const versioned_record *there = nullptr;
-        const versioned_record *back = nullptr;
-        double gain = 0;
+        available_member *receiver = nullptr;
+        const versioned_record *outgoing = nullptr;
+        const versioned_record *incoming = nullptr;
+        // By how much the move lowers the higher load of the two members.
+        double loadReduction = 0;
     };
 
     member_condition conditionOf(const instance_id &id) const
     {
         const auto *member = m_view.findMember(id);
         if (member == nullptr) {
-            return member_condition::Silent;
+            return member_condition::Unresponsive;
         }
         return m_hooks.condition ? m_hooks.condition(*member) : member_condition::Available;
     }
 
-    double weightOf(const placement_record &record) const
+    // Returns requests per second; 0 if unknown.
+    double requestRateOf(const placement_record &record) const
     {
-        const auto weight = m_options.weights.find(record.partition);
-        return weight == m_options.weights.end() ? 0 : weight->second;
+        const auto rate = m_options.requestRates.find(record.partition);
+        return rate == m_options.requestRates.end() ? 0 : rate->second;
     }
 
-    holding *findHolding(const instance_id &id)
+    // Returns null if no available member has this id.
+    available_member *findAvailable(const instance_id &id)
     {
         const auto entry = m_available.find(id);
         return entry == m_available.end() ? nullptr : &entry->second;
@@ -83,14 +92,15 @@
     void collectMembers()
     {
         const auto members = m_view.membersOf(m_service);
-        m_others = members.empty() ? 0 : members.size() - 1;
+        m_maxStandbys = members.empty() ? 0 : members.size() - 1;
         for (const auto *member : members) {
             if (conditionOf(member->id) == member_condition::Available) {
-                m_available[member->id].member = member;
+                m_available[member->id].memberRecord = member;
             }
         }
     }
 
+    // Collects the range records of the service. Records of single keys are not balanced.
     void collectRecords()
     {
         const auto entry = m_view.recordsByService.find(m_service);
@@ -105,32 +115,35 @@
         }
     }
 
+    // Adds the record to its owner, or to its next owner during a move. Cancels a move whose target
+    // is not available. Skips records of unresponsive owners, since their moves cannot complete.
     void collectRecord(const versioned_record &versioned)
     {
         const auto &record = versioned.record;
         const auto ownerCondition = conditionOf(record.owner);
-        if (ownerCondition == member_condition::Silent) {
+        if (ownerCondition == member_condition::Unresponsive) {
             return;
         }
-        const bool moving = !record.nextOwner.isNull();
-        const bool moveFails = moving && findHolding(record.nextOwner) == nullptr;
-        if (moveFails) {
+        const bool isMoving = !record.nextOwner.isNull();
+        const bool isTargetUnavailable = isMoving && findAvailable(record.nextOwner) == nullptr;
+        if (isTargetUnavailable) {
             cancelMove(versioned);
-        } else if (moving) {
-            ++m_movesUnderWay;
+        } else if (isMoving) {
+            ++m_movesInProgress;
         }
-        auto *holder = findHolding(moving && !moveFails ? record.nextOwner : record.owner);
-        if (holder != nullptr) {
-            ++holder->count;
-            holder->load += weightOf(record);
+        auto *owner =
+            findAvailable(isMoving && !isTargetUnavailable ? record.nextOwner : record.owner);
+        if (owner != nullptr) {
+            ++owner->partitionCount;
+            owner->load += requestRateOf(record);
         }
-        if (moving) {
+        if (isMoving) {
             return;
         }
-        if (holder != nullptr) {
-            holder->movable.push_back(&versioned);
+        if (owner != nullptr) {
+            owner->movableRecords.push_back(&versioned);
         } else if (ownerCondition == member_condition::Draining) {
-            m_draining.push_back(&versioned);
+            m_drainingRecords.push_back(&versioned);
         }
     }
 
@@ -146,73 +159,81 @@
     void addChange(record_change::change_kind kind, placement_record record, uint64_t version,
                    std::string reason)
     {
-        m_changed.insert(record.partition);
+        m_changedPartitions.insert(record.partition);
         m_changes.push_back({kind, std::move(record), version, false, std::move(reason)});
     }
 
-    // Returns whether no record was missing.
-    bool createRecords(size_t partitions)
+    // Plans records for ranges without one, up to the limit of one call. Returns whether all ranges
+    // had a record before.
+    bool createRecords(size_t partitionCount)
     {
-        const auto missing = missingRanges(partitions);
+        const auto missing = missingRanges(partitionCount);
         size_t total = missing.size();
-        for (const auto &[id, holder] : m_available) {
-            total += holder.count;
+        for (const auto &[id, member] : m_available) {
+            total += member.partitionCount;
         }
         const size_t share = total / m_available.size();
-        size_t extras = total % m_available.size();
-        for (const auto &[id, holder] : m_available) {
-            extras -= holder.count > share && extras > 0 ? 1 : 0;
+        // Number of members that may still receive one partition more than the equal share.
+        size_t extraPartitionsLeft = total % m_available.size();
+        for (const auto &[id, member] : m_available) {
+            extraPartitionsLeft -= member.partitionCount > share && extraPartitionsLeft > 0 ? 1 : 0;
         }
-        for (size_t i = 0; i < std::min(missing.size(), m_options.creations); ++i) {
+        for (size_t i = 0; i < std::min(missing.size(), m_options.maxCreations); ++i) {
             const std::string partition = partitionName(m_service, missing[i]);
-            auto *owner = chooseUnderBound(partition, share + (extras > 0 ? 1 : 0));
+            auto *owner = chooseBelowLimit(partition, share + (extraPartitionsLeft > 0 ? 1 : 0));
             if (owner == nullptr || !createRecord(partition, missing[i], *owner)) {
                 continue;
             }
-            extras -= owner->count == share && extras > 0 ? 1 : 0;
-            ++owner->count;
+            extraPartitionsLeft -=
+                owner->partitionCount == share && extraPartitionsLeft > 0 ? 1 : 0;
+            ++owner->partitionCount;
         }
         return missing.empty();
     }
 
-    std::vector<hash_range> missingRanges(size_t partitions) const
+    // Returns the ranges that overlap no record.
+    std::vector<hash_range> missingRanges(size_t partitionCount) const
     {
         std::vector<hash_range> missing;
-        for (const auto &range : equalRanges(partitions)) {
-            // A range that overlaps a record must not get a second owner, whatever its name.
-            const bool covered =
+        for (const auto &range : divideHashSpace(partitionCount)) {
+            // The check compares hashes, not names: after a change of the number of partitions, a
+            // range may overlap records with other names, and no hash may have two owners.
+            const bool isCovered =
                 std::any_of(m_records.begin(), m_records.end(), [&](const auto *record) {
                     return record->record.range.first <= range.last
                         && range.first <= record->record.range.last;
                 });
-            if (!covered) {
+            if (!isCovered) {
                 missing.push_back(range);
             }
         }
         return missing;
     }
 
-    // Returns the highest-ranked member for the partition that owns fewer than `bound`.
-    holding *chooseUnderBound(const std::string &partition, size_t bound)
+    // Returns the member with the highest rendezvous weight for the partition among those that own
+    // fewer than `limit` partitions, or null if there is none.
+    available_member *chooseBelowLimit(const std::string &partition, size_t limit)
     {
-        holding *chosen = nullptr;
-        uint64_t highest = 0;
-        for (auto &[id, holder] : m_available) {
+        available_member *chosen = nullptr;
+        uint64_t highestWeight = 0;
+        for (auto &[id, member] : m_available) {
             const uint64_t weight = rendezvousWeight(id.name, partition);
-            if (holder.count < bound && (chosen == nullptr || weight > highest)) {
-                chosen = &holder;
-                highest = weight;
+            if (member.partitionCount < limit && (chosen == nullptr || weight > highestWeight)) {
+                chosen = &member;
+                highestWeight = weight;
             }
         }
         return chosen;
     }
 
-    bool createRecord(const std::string &partition, const hash_range &range, const holding &owner)
+    // Returns false if there are too few witnesses for the partition.
+    bool createRecord(const std::string &partition, const hash_range &range,
+                      const available_member &owner)
     {
         placement_record record;
         record.partition = partition;
         record.range = range;
-        record.owner = owner.member->id;
+        record.owner = owner.memberRecord->id;
         record.term = 1;
         record.witnesses = m_hooks.chooseWitnesses(m_view, record.owner, partition);
         if (record.witnesses.size() != witnessesPerPartition) {
@@ -223,60 +244,65 @@
         return true;
     }
 
-    bool mayMove() const { return m_movesUnderWay < m_options.movesUnderWay; }
+    // Returns whether another move may be started now.
+    bool canStartMove() const { return m_movesInProgress < m_options.maxConcurrentMoves; }
 
-    void moveFromDraining()
+    // Plans moves from draining owners to the members with the fewest partitions.
+    void moveFromDrainingOwners()
     {
-        for (const auto *record : m_draining) {
-            if (!mayMove()) {
+        for (const auto *record : m_drainingRecords) {
+            if (!canStartMove()) {
                 return;
             }
-            size_t fewest = std::numeric_limits<size_t>::max();
-            for (const auto &[id, holder] : m_available) {
-                fewest = std::min(fewest, holder.count);
+            size_t minCount = std::numeric_limits<size_t>::max();
+            for (const auto &[id, member] : m_available) {
+                minCount = std::min(minCount, member.partitionCount);
             }
-            auto *receiver = chooseUnderBound(record->record.partition, fewest + 1);
-            move(*record, nullptr, *receiver, false, "owner drains");
+            auto *receiver = chooseBelowLimit(record->record.partition, minCount + 1);
+            move(*record, nullptr, *receiver, false, "owner is draining");
         }
     }
 
-    void moveByNumber()
+    // Plans moves until partition counts differ by at most one or no further move may start.
+    void balanceCounts()
     {
-        while (mayMove()) {
-            size_t fewest = std::numeric_limits<size_t>::max();
-            size_t most = 0;
-            for (const auto &[id, holder] : m_available) {
-                fewest = std::min(fewest, holder.count);
-                most = std::max(most, holder.count);
+        while (canStartMove()) {
+            size_t minCount = std::numeric_limits<size_t>::max();
+            size_t maxCount = 0;
+            for (const auto &[id, member] : m_available) {
+                minCount = std::min(minCount, member.partitionCount);
+                maxCount = std::max(maxCount, member.partitionCount);
             }
-            if (most < fewest + 2 || !moveBestRanked(most, fewest)) {
+            if (maxCount < minCount + 2 || !moveByRendezvousWeight(maxCount, minCount)) {
                 return;
             }
         }
     }
 
-    // Moves the partition for which a member with the fewest ranks highest.
-    bool moveBestRanked(size_t most, size_t fewest)
+    // Moves one partition from a member with `maxCount` partitions to a member with `minCount`.
+    // Chooses the partition and the receiver with the highest rendezvous weight. Returns false if
+    // there is no such partition.
+    bool moveByRendezvousWeight(size_t maxCount, size_t minCount)
     {
-        holding *from = nullptr;
-        holding *to = nullptr;
+        available_member *from = nullptr;
+        available_member *to = nullptr;
         const versioned_record *chosen = nullptr;
-        uint64_t highest = 0;
+        uint64_t highestWeight = 0;
         for (auto &[receiverId, receiver] : m_available) {
-            if (receiver.count != fewest) {
+            if (receiver.partitionCount != minCount) {
                 continue;
             }
             for (auto &[donorId, donor] : m_available) {
-                if (donor.count != most) {
+                if (donor.partitionCount != maxCount) {
                     continue;
                 }
-                for (const auto *record : donor.movable) {
+                for (const auto *record : donor.movableRecords) {
                     const auto weight = rendezvousWeight(receiverId.name, record->record.partition);
-                    if (chosen == nullptr || weight > highest) {
+                    if (chosen == nullptr || weight > highestWeight) {
                         from = &donor;
                         to = &receiver;
                         chosen = record;
-                        highest = weight;
+                        highestWeight = weight;
                     }
                 }
             }
@@ -284,114 +310,127 @@
         if (chosen == nullptr) {
             return false;
         }
-        move(*chosen, from, *to, false, "numbers differ");
+        move(*chosen, from, *to, false, "partition counts differ");
         return true;
     }
 
-    void move(const versioned_record &versioned, holding *from, holding &to, bool loadDriven,
-              std::string_view reason)
+    // Plans a move and updates the counts and loads. `from` is null if the owner is draining.
+    void move(const versioned_record &versioned, available_member *from, available_member &to,
+              bool isLoadDriven, std::string_view reason)
     {
         auto record = versioned.record;
-        record.nextOwner = to.member->id;
-        const double weight = weightOf(record);
+        record.nextOwner = to.memberRecord->id;
+        const double requestRate = requestRateOf(record);
         addChange(record_change::change_kind::Move, std::move(record), versioned.version,
                   std::string(reason));
-        m_changes.back().loadDriven = loadDriven;
-        ++m_movesUnderWay;
-        ++to.count;
-        to.load += weight;
+        m_changes.back().isLoadDriven = isLoadDriven;
+        ++m_movesInProgress;
+        ++to.partitionCount;
+        to.load += requestRate;
         if (from != nullptr) {
-            --from->count;
-            from->load -= weight;
-            std::erase(from->movable, &versioned);
+            --from->partitionCount;
+            from->load -= requestRate;
+            std::erase(from->movableRecords, &versioned);
         }
     }
 
-    // Plans at most one move or exchange, and only while no other move is under way, because the
-    // observed rates show the effect of a move only after it has completed.
-    void moveByLoad()
+    // Plans at most one load-driven move or exchange, and only while no other move is in progress,
+    // because the observed request rates show the effect of a move only after the move is complete.
+    void balanceLoad()
     {
-        if (m_options.weights.empty() || m_movesUnderWay > 0 || !mayMove()
+        if (m_options.requestRates.empty() || m_movesInProgress > 0 || !canStartMove()
             || m_available.size() < 2) {
             return;
         }
         double total = 0;
-        std::vector<holding *> busiestFirst;
-        for (auto &[id, holder] : m_available) {
-            total += holder.load;
-            busiestFirst.push_back(&holder);
-        }
-        std::stable_sort(
-            busiestFirst.begin(), busiestFirst.end(),
-            [](const holding *left, const holding *right) { return left->load > right->load; });
+        std::vector<available_member *> busiestFirst;
+        for (auto &[id, member] : m_available) {
+            total += member.load;
+            busiestFirst.push_back(&member);
+        }
+        std::stable_sort(busiestFirst.begin(), busiestFirst.end(),
+                         [](const available_member *left, const available_member *right) {
+                             return left->load > right->load;
+                         });
         const double mean = total / static_cast<double>(m_available.size());
-        // The busiest may be so for one partition that nothing can divide; then the next is helped.
-        for (auto *busy : busiestFirst) {
-            if (busy->load <= mean * (1 + m_options.loadTrigger)) {
+        // If no move relieves the busiest member enough, for example because a single partition
+        // causes its load and cannot be divided, the next busiest member is tried.
+        for (auto *donor : busiestFirst) {
+            if (donor->load <= mean * (1 + m_options.minLoadExcess)) {
                 return;
             }
-            const auto best = findLoadMove(*busy);
-            if (best.there != nullptr && best.gain >= mean * m_options.loadGain) {
-                move(*best.there, busy, *best.receiver, true, "loads differ");
-                if (best.back != nullptr) {
-                    move(*best.back, best.receiver, *busy, true, "loads differ, exchange");
+            const auto best = findLoadMove(*donor);
+            if (best.outgoing != nullptr
+                && best.loadReduction >= mean * m_options.minLoadReduction) {
+                move(*best.outgoing, donor, *best.receiver, true, "loads differ");
+                if (best.incoming != nullptr) {
+                    move(*best.incoming, best.receiver, *donor, true, "loads differ, exchange");
                 }
                 return;
             }
         }
     }
 
-    load_move findLoadMove(const holding &busy)
+    // Returns the move or exchange that relieves the donor most. If there is none, `outgoing` is
+    // null.
+    load_move findLoadMove(const available_member &donor)
     {
         load_move best;
         for (auto &[id, receiver] : m_available) {
-            if (&receiver == &busy) {
+            if (&receiver == &donor) {
                 continue;
             }
-            for (const auto *there : busy.movable) {
-                if (busy.count > receiver.count) {
-                    consider(best, busy, {&receiver, there, nullptr});
+            for (const auto *outgoing : donor.movableRecords) {
+                if (donor.partitionCount > receiver.partitionCount) {
+                    considerLoadMove(best, donor, {&receiver, outgoing, nullptr});
                 }
-                if (m_options.movesUnderWay < 2) {
+                if (m_options.maxConcurrentMoves < 2) {
                     continue;
                 }
-                for (const auto *back : receiver.movable) {
-                    consider(best, busy, {&receiver, there, back});
+                for (const auto *incoming : receiver.movableRecords) {
+                    considerLoadMove(best, donor, {&receiver, outgoing, incoming});
                 }
             }
         }
         return best;
     }
 
-    void consider(load_move &best, const holding &busy, load_move candidate) const
+    // Replaces `best` by `candidate` if the candidate relieves the donor enough to be preferred.
+    void considerLoadMove(load_move &best, const available_member &donor, load_move candidate) const
     {
-        double shifted = weightOf(candidate.there->record);
-        if (candidate.back != nullptr) {
-            shifted -= weightOf(candidate.back->record);
-        }
-        const double after = std::max(busy.load - shifted, candidate.receiver->load + shifted);
-        candidate.gain = busy.load - after;
-        // An exchange costs two moves, so it must gain clearly more than a single one.
-        constexpr double exchangeAdvantage = 1.1;
-        const bool costsMore = candidate.back != nullptr && best.back == nullptr;
-        if (candidate.gain > best.gain * (costsMore ? exchangeAdvantage : 1.0)) {
+        double shiftedLoad = requestRateOf(candidate.outgoing->record);
+        if (candidate.incoming != nullptr) {
+            shiftedLoad -= requestRateOf(candidate.incoming->record);
+        }
+        const double higherLoad =
+            std::max(donor.load - shiftedLoad, candidate.receiver->load + shiftedLoad);
+        candidate.loadReduction = donor.load - higherLoad;
+        // An exchange costs two moves, so it must relieve the donor clearly more than one move.
+        constexpr double minExchangeAdvantage = 1.1;
+        const bool costsMore = candidate.incoming != nullptr && best.incoming == nullptr;
+        if (candidate.loadReduction
+            > best.loadReduction * (costsMore ? minExchangeAdvantage : 1.0)) {
             best = candidate;
         }
     }
 
+    // Plans repairs for records without other planned changes, up to the limit of one call.
     void repairStandbys()
     {
         size_t repairs = 0;
         for (const auto *versioned : m_records) {
-            if (repairs >= m_options.repairs) {
+            if (repairs >= m_options.maxStandbyRepairs) {
                 return;
             }
-            if (m_changed.count(versioned->record.partition) == 0 && repairRecord(*versioned)) {
+            if (m_changedPartitions.count(versioned->record.partition) == 0
+                && repairRecord(*versioned)) {
                 ++repairs;
             }
         }
     }
 
+    // Replaces standbys that are no longer members and fills up missing ones. Returns whether a
+    // change was planned.
     bool repairRecord(const versioned_record &versioned)
     {
         const auto &record = versioned.record;
@@ -401,20 +440,22 @@
                      [&](const instance_id &id) {
                          return m_view.findMember(id) != nullptr && id != record.owner;
                      });
-        // The standbys of a lost owner claim it; a change of the record would only delay them.
+        // If the owner is lost, its standbys claim the partition, and a change of the record would
+        // only delay their claims.
         if (m_view.findMember(record.owner) == nullptr && !standbys.empty()) {
             return false;
         }
-        // The hook ranks all members, which is too slow to do for each record on each call.
-        const bool complete = standbys.size() >= std::min(standbysPerPartition, m_others);
-        if (complete && standbys.size() == record.standbys.size()) {
+        // The hook sorts all members by rendezvous weight, which is too slow to be done for every
+        // record on each call.
+        const bool isComplete = standbys.size() >= std::min(standbysPerPartition, m_maxStandbys);
+        if (isComplete && standbys.size() == record.standbys.size()) {
             return false;
         }
         const auto chosen =
             m_hooks.chooseStandbys(m_view, m_service, record.owner, record.partition);
         for (const auto &id : chosen) {
-            const bool listed = std::find(standbys.begin(), standbys.end(), id) != standbys.end();
-            if (standbys.size() < standbysPerPartition && !listed && id != record.owner) {
+            const bool isListed = std::find(standbys.begin(), standbys.end(), id) != standbys.end();
+            if (standbys.size() < standbysPerPartition && !isListed && id != record.owner) {
                 standbys.push_back(id);
             }
         }
@@ -432,14 +473,18 @@
     const std::string m_service;
     const placement_hooks &m_hooks;
     const placement_options &m_options;
-    // Members of the service besides an owner.
-    size_t m_others = 0;
-    std::map<instance_id, holding> m_available;
+    // Number of members of the service that can be standbys of one record, i.e. all but its owner.
+    size_t m_maxStandbys = 0;
+    // Available members of the service.
+    std::map<instance_id, available_member> m_available;
+    // Range records of the service.
     std::vector<const versioned_record *> m_records;
-    // Records of draining owners, still to be moved.
-    std::vector<const versioned_record *> m_draining;
-    size_t m_movesUnderWay = 0;
-    std::set<std::string, std::less<>> m_changed;
+    // Records of draining owners whose move has not started.
+    std::vector<const versioned_record *> m_drainingRecords;
+    // Moves in progress, including those planned by this call.
+    size_t m_movesInProgress = 0;
+    // Names of the partitions that this plan changes.
+    std::set<std::string, std::less<>> m_changedPartitions;
     std::vector<record_change> m_changes;
 };
 
--- a/src/persimmonrail/balance/placement_plan.h
+++ b/src/persimmonrail/balance/placement_plan.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "persimmonrail/balance/hash_division.h"
+#include "persimmonrail/balance/hash_partitioning.h"
 #include "persimmonrail/sync/fleet_view.h"
 
 #include <functional>
@@ -11,72 +11,82 @@
 
 namespace persimmonrail {
 
-// A conditional write of one placement record.
+// A planned conditional write of one placement record.
 struct record_change
 {
     enum class change_kind { Create, Move, CancelMove, RepairStandbys };
 
     change_kind kind = change_kind::Create;
+    // The record to write.
     placement_record record;
-    // Version that the platform must hold for the write to take effect; 0 creates the record.
+    // Version that the platform must hold for the write to take effect; 0 means that the record
+    // must not exist.
     uint64_t expectedVersion = 0;
-    // Whether a move evens out load rather than numbers.
-    bool loadDriven = false;
-    // For the decision log.
+    // Whether a move balances load, as opposed to partition counts or draining.
+    bool isLoadDriven = false;
+    // Why the change was planned; written to the decision log.
     std::string reason;
 };
 
 // Returns "create", "move", "cancel-move" or "repair-standbys".
 std::string_view toString(record_change::change_kind kind);
 
-// What is known of a member beyond its record.
+// State of a member as far as placement is concerned.
 enum class member_condition {
-    // May be given partitions.
+    // The member may receive partitions.
     Available,
-    // Gives up its partitions by planned moves.
+    // The member's partitions are moved to other members.
     Draining,
-    // Doesn't answer. Its partitions are not moved, since only their owner can hand them over; the
-    // standbys claim them.
-    Silent,
+    // The member does not reply to pings. Its partitions are not moved, since only their owner can
+    // release them for a planned move. The standbys of the partitions claim them instead.
+    Unresponsive,
 };
 
+// Decisions that planPlacement() leaves to its caller.
 struct placement_hooks
 {
-    // Returns three instances, or fewer if the fleet is too small to place the partition.
+    // Returns three witnesses for a partition, or fewer if the fleet is too small to place the
+    // partition.
     std::function<std::vector<instance_id>(const fleet_view &view, const instance_id &owner,
                                            std::string_view partition)>
         chooseWitnesses;
+    // Returns the standbys for a partition, in the order in which they may claim it.
     std::function<std::vector<instance_id>(const fleet_view &view, std::string_view service,
                                            const instance_id &owner, std::string_view partition)>
         chooseStandbys;
-    // Unset if all members are available.
+    // Returns the condition of a member. If unset, all members are available.
     std::function<member_condition(const member_record &member)> condition;
 };
 
+// Limits of planPlacement().
 struct placement_options
 {
-    // Planned moves under way per service.
-    size_t movesUnderWay = 2;
-    // New records per call.
-    size_t creations = 64;
-    // Standby repairs per call.
-    size_t repairs = 4;
-    // Requests a second by partition; empty balances by number alone.
-    std::map<std::string, double, std::less<>> weights;
-    // Load moves start when an instance has this share of load above the mean ...
-    double loadTrigger = 0.20;
-    // ... and each must lower the load of the busier instance by at least this share of the mean.
-    // A move that would soon be undone gains less.
-    double loadGain = 0.10;
+    // Maximum number of planned moves of the service that are in progress at a time.
+    size_t maxConcurrentMoves = 2;
+    // Maximum number of records that one call creates.
+    size_t maxCreations = 64;
+    // Maximum number of records whose standbys one call replaces.
+    size_t maxStandbyRepairs = 4;
+    // Requests per second by partition. If empty, only the numbers of partitions are balanced.
+    std::map<std::string, double, std::less<>> requestRates;
+    // Load-driven moves take partitions only from members whose load exceeds the mean by more than
+    // this share of the mean.
+    double minLoadExcess = 0.20;
+    // Each load-driven move or exchange must lower the higher load of the two members by at least
+    // this share of the mean. This excludes moves that noise in the observed rates would soon undo.
+    double minLoadReduction = 0.10;
 };
 
-// Plans the record changes that bring a service's placement nearer to balance. Each instance ends
-// with its share of the partitions, rounded down or up; a joining instance receives and a leaving
-// one gives up no more than its share. Load differences are evened out by exchanges and moves that
-// keep to those bounds. Records whose owner's incarnation is gone are never moved.
+// Returns the record changes that bring a service's placement closer to balance. Returns none if
+// the service has no document or is not partitioned.
 //
-// Pure: the same view gives the same plan, so two coordinators that act at once plan the same
-// writes, and conditional updates let each take effect once.
+// Repeated calls lead to a placement in which each available member owns an equal share of the
+// partitions, rounded down or up. A joining member receives no more partitions than its share, and
+// a leaving member gives up no more than it owns. Load is balanced by moves and exchanges that keep
+// within these limits. Records whose owner's incarnation is no longer a member are never moved.
+//
+// The function has no side effects. The same view gives the same plan, so two coordinators that act
+// at the same time plan the same writes, and conditional updates let each write take effect once.
 std::vector<record_change> planPlacement(const fleet_view &view, std::string_view service,
                                          const placement_hooks &hooks,
                                          const placement_options &options);
--- a/src/persimmonrail/balance/tests/coordinator_test.cpp
+++ b/src/persimmonrail/balance/tests/coordinator_test.cpp
@@ -11,16 +11,17 @@
 
 namespace {
 
-// Runs the coordinators of all members of a fleet against simulated pings.
-class coordinator_fleet
+// Simulates the coordinators of all members of a fleet and the pings between them.
+class coordinator_simulation
 {
 public:
-    coordinator_fleet(int instances, int partitions)
+    coordinator_simulation(int instances, int partitions)
         : m_fleet(instances, partitions)
     {
         publish();
     }
 
+    // Passes the present view to all coordinators; adds coordinators for new members.
     void publish()
     {
         for (const auto &[name, member] : m_fleet.view().members) {
@@ -31,17 +32,18 @@
         }
     }
 
-    void run(std::chrono::seconds duration)
+    // Lets time pass in steps of 250 ms. Planned writes and moves complete within one step.
+    void advance(std::chrono::seconds duration)
     {
         for (const auto end = m_now + duration; m_now < end; m_now += 250ms) {
             for (auto &[name, coordinator] : m_coordinators) {
                 for (const auto &target : coordinator.duePings(m_now)) {
-                    if (dead.count(target.id.name) + dead.count(name) == 0
-                        && cut.count({name, target.id.name}) == 0) {
+                    if (stoppedDaemons.count(target.id.name) + stoppedDaemons.count(name) == 0
+                        && brokenLinks.count({name, target.id.name}) == 0) {
                         coordinator.recordResponse(target.id, m_now);
                     }
                 }
-                if (dead.count(name) == 0) {
+                if (stoppedDaemons.count(name) == 0) {
                     coordinator.tick(m_now);
                 }
             }
@@ -49,11 +51,12 @@
         }
     }
 
-    std::vector<std::string> holders() const
+    // Returns the running daemons that coordinate the service "s".
+    std::vector<std::string> activeCoordinators() const
     {
         std::vector<std::string> names;
         for (const auto &[name, coordinator] : m_coordinators) {
-            if (dead.count(name) == 0 && coordinator.coordinates("s", m_now)) {
+            if (stoppedDaemons.count(name) == 0 && coordinator.isCoordinatorOf("s", m_now)) {
                 names.push_back(name);
             }
         }
@@ -62,13 +65,17 @@
 
     simulated_fleet &fleet() { return m_fleet; }
 
-    std::set<std::string> dead;
-    // Pairs that can't reach each other.
-    std::set<std::pair<std::string, std::string>> cut;
-    std::vector<stored_object> documents;
-    std::vector<std::string> accepted;
-    std::vector<std::string> removed;
-    int writes = 0;
+    // Daemons that have stopped.
+    std::set<std::string> stoppedDaemons;
+    // Pairs (sender, receiver) whose pings get no reply.
+    std::set<std::pair<std::string, std::string>> brokenLinks;
+    // Documents that are not evaluated yet.
+    std::vector<stored_object> unevaluatedDocuments;
+    // Service of each evaluated document, in order of the evaluations.
+    std::vector<std::string> evaluatedServices;
+    // Names of the removed members.
+    std::vector<std::string> removedMembers;
+    int recordWrites = 0;
 
 private:
     coordinator::hooks hooks(const std::string &self)
@@ -76,22 +83,22 @@
         coordinator::hooks hooks;
         hooks.placement = simulated_fleet::hooks();
         hooks.writeRecord = [this](const record_change &change) {
-            ++writes;
+            ++recordWrites;
             m_pending.push_back(change);
         };
-        hooks.newerDocuments = [this] { return documents; };
+        hooks.newerDocuments = [this] { return unevaluatedDocuments; };
         hooks.acceptDocument = [this](const std::string &service, const stored_object &) {
-            accepted.push_back(service);
+            evaluatedServices.push_back(service);
         };
         hooks.askConfirmation = [this, self](const member_record &helper,
                                              const member_record &suspect) {
-            if (dead.count(helper.id.name) == 0) {
-                m_coordinators.at(self).noteConfirmation(helper.id, suspect.id,
-                                                         dead.count(suspect.id.name) == 0, m_now);
+            if (stoppedDaemons.count(helper.id.name) == 0) {
+                m_coordinators.at(self).noteConfirmation(
+                    helper.id, suspect.id, stoppedDaemons.count(suspect.id.name) == 0, m_now);
             }
         };
         hooks.removeMember = [this](const member_record &member) {
-            removed.push_back(member.id.name);
+            removedMembers.push_back(member.id.name);
         };
         return hooks;
     }
@@ -116,97 +123,99 @@
 
 } // namespace
 
-// Guards against a service without coordinator after losses, and against duplicate writes.
-TEST_CASE("one coordinator places the service and another takes over")
+// Guards against a service without coordinator after its coordinator fails, and against duplicate
+// writes.
+TEST_CASE("one coordinator places the service and another replaces it after a failure")
 {
-    coordinator_fleet run(5, 20);
-    run.run(10s);
-    REQUIRE(run.holders().size() == 1);
-    CHECK(run.writes == 20);
-    CHECK(run.fleet().view().records.size() == 20);
-    CHECK(run.fleet().spread() <= 1);
-    const auto first = run.holders().front();
-    run.dead.insert(first);
-    run.run(8s);
-    REQUIRE(run.holders().size() == 1);
-    CHECK(run.holders().front() != first);
-    CHECK(run.writes == 20);
+    coordinator_simulation simulation(5, 20);
+    simulation.advance(10s);
+    REQUIRE(simulation.activeCoordinators().size() == 1);
+    CHECK(simulation.recordWrites == 20);
+    CHECK(simulation.fleet().view().records.size() == 20);
+    CHECK(simulation.fleet().partitionSpread() <= 1);
+    const auto firstCoordinator = simulation.activeCoordinators().front();
+    simulation.stoppedDaemons.insert(firstCoordinator);
+    simulation.advance(8s);
+    REQUIRE(simulation.activeCoordinators().size() == 1);
+    CHECK(simulation.activeCoordinators().front() != firstCoordinator);
+    CHECK(simulation.recordWrites == 20);
 }
 
-// Guards against moves at the start of a service whose instances come up one after the other.
-TEST_CASE("the first placement waits until the members have settled")
+// Guards against moves at the start of a service whose instances start one after the other.
+TEST_CASE("the first placement waits until no more members join")
 {
-    coordinator_fleet run(1, 12);
+    coordinator_simulation simulation(1, 12);
     for (const auto *name : {"i1", "i2", "i3"}) {
-        run.run(1s);
-        CHECK(run.writes == 0);
-        run.fleet().join(name);
-        run.publish();
+        simulation.advance(1s);
+        CHECK(simulation.recordWrites == 0);
+        simulation.fleet().addMember(name);
+        simulation.publish();
     }
-    run.run(30s);
-    CHECK(run.writes == 12);
-    CHECK(run.fleet().spread() == 0);
+    simulation.advance(30s);
+    CHECK(simulation.recordWrites == 12);
+    CHECK(simulation.fleet().partitionSpread() == 0);
 }
 
-// Guards against the removal of members that only the coordinator can't reach, and against members
-// that fail and stay.
-TEST_CASE("a member is removed after 60 s of silence and a confirmation")
+// Guards against the removal of members that only the coordinator cannot reach, and against failed
+// members that are never removed.
+TEST_CASE("a member is removed after 60 s without reply and a confirmation")
 {
-    const auto [name, dies, seconds, expected] =
-        GENERATE(table<std::string, bool, int, bool>({{"dead", true, 75, true},
-                                                      {"dead, too early", true, 50, false},
-                                                      {"unreachable from one", false, 200, false},
-                                                      {"alive", false, 0, false}}));
+    const auto [name, isStopped, seconds, expected] = GENERATE(table<std::string, bool, int, bool>(
+        {{"stopped", true, 75, true},
+         {"stopped for less than 60 s", true, 50, false},
+         {"unreachable from the coordinator only", false, 200, false},
+         {"alive", false, 0, false}}));
     CAPTURE(name);
-    coordinator_fleet run(5, 20);
-    run.run(10s);
-    const auto holder = run.holders().front();
-    const std::string victim = holder == "i1" ? "i2" : "i1";
-    if (dies) {
-        run.dead.insert(victim);
+    coordinator_simulation simulation(5, 20);
+    simulation.advance(10s);
+    const auto activeCoordinator = simulation.activeCoordinators().front();
+    const std::string failedMember = activeCoordinator == "i1" ? "i2" : "i1";
+    if (isStopped) {
+        simulation.stoppedDaemons.insert(failedMember);
     } else if (seconds > 0) {
-        run.cut.insert({holder, victim});
+        simulation.brokenLinks.insert({activeCoordinator, failedMember});
     }
-    run.run(std::chrono::seconds(seconds == 0 ? 100 : seconds));
-    CHECK(run.removed.empty() == !expected);
-    CHECK(std::all_of(run.removed.begin(), run.removed.end(),
-                      [&](const std::string &removed) { return removed == victim; }));
+    simulation.advance(std::chrono::seconds(seconds == 0 ? 100 : seconds));
+    CHECK(simulation.removedMembers.empty() == !expected);
+    CHECK(std::all_of(simulation.removedMembers.begin(), simulation.removedMembers.end(),
+                      [&](const std::string &member) { return member == failedMember; }));
 }
 
 // Guards against the evaluation of a document by many daemons or in a tight loop, and against
-// documents of services without members that nobody evaluates.
+// documents that are never evaluated because their service has no members.
 TEST_CASE("newer documents are evaluated by one coordinator")
 {
     const std::string service = GENERATE("s", "other");
-    coordinator_fleet run(5, 20);
-    run.run(10s);
-    run.documents = {{"config/" + service, 7, false, "{}"}};
-    run.run(12s);
-    CHECK(run.accepted == std::vector<std::string>(3, service));
-    run.documents = {{"config/" + service, 8, false, "{}"}};
-    run.run(2s);
-    CHECK(run.accepted.size() == 4);
+    coordinator_simulation simulation(5, 20);
+    simulation.advance(10s);
+    simulation.unevaluatedDocuments = {{"config/" + service, 7, false, "{}"}};
+    simulation.advance(12s);
+    CHECK(simulation.evaluatedServices == std::vector<std::string>(3, service));
+    simulation.unevaluatedDocuments = {{"config/" + service, 8, false, "{}"}};
+    simulation.advance(2s);
+    CHECK(simulation.evaluatedServices.size() == 4);
 }
 
-// Guards against partitions that are given to a member which doesn't answer.
-TEST_CASE("a silent member is given nothing")
+// Guards against moves of partitions to a member that does not reply to pings.
+TEST_CASE("an unresponsive member receives no partitions")
 {
     const bool repliesAtFirst = GENERATE(false, true);
-    coordinator_fleet run(5, 600);
-    run.run(20s);
-    REQUIRE(run.fleet().spread() == 0);
-    run.fleet().join("i5");
+    coordinator_simulation simulation(5, 600);
+    simulation.advance(20s);
+    REQUIRE(simulation.fleet().partitionSpread() == 0);
+    simulation.fleet().addMember("i5");
     if (!repliesAtFirst) {
-        run.dead.insert("i5");
+        simulation.stoppedDaemons.insert("i5");
     }
-    run.publish();
-    run.run(2s);
-    run.dead.insert("i5");
-    // Two moves start every 250 ms until three pings are missed; its share would be 100.
-    run.run(10s);
-    const int given = run.fleet().counts()["i5"];
-    CHECK(given >= (repliesAtFirst ? 1 : 0));
-    CHECK(given <= (repliesAtFirst ? 50 : 0));
-    run.run(40s);
-    CHECK(run.fleet().counts()["i5"] == given);
+    simulation.publish();
+    simulation.advance(2s);
+    simulation.stoppedDaemons.insert("i5");
+    // Two moves start every 250 ms until "i5" has missed three pings. Its full share would be 100
+    // partitions.
+    simulation.advance(10s);
+    const int received = simulation.fleet().counts()["i5"];
+    CHECK(received >= (repliesAtFirst ? 1 : 0));
+    CHECK(received <= (repliesAtFirst ? 50 : 0));
+    simulation.advance(40s);
+    CHECK(simulation.fleet().counts()["i5"] == received);
 }
--- a/src/persimmonrail/balance/tests/placement_plan_test.cpp
+++ b/src/persimmonrail/balance/tests/placement_plan_test.cpp
@@ -21,11 +21,11 @@
 
 } // namespace
 
-// Guards against hashes that belong to no partition or to two.
-TEST_CASE("equal ranges cover the hash space without overlap")
+// Guards against hashes that belong to no partition or to two partitions.
+TEST_CASE("ranges of equal size cover the hash space without overlap")
 {
     const size_t count = GENERATE(1, 2, 3, 7, 16, 4000);
-    const auto ranges = equalRanges(count);
+    const auto ranges = divideHashSpace(count);
     REQUIRE(ranges.size() == count);
     CHECK(ranges.front().first == 0);
     CHECK(ranges.back().last == UINT64_MAX);
@@ -38,96 +38,96 @@
     }
 }
 
-// Guards against imbalance beyond one partition and against more moves than the share of the
-// instance that joins or leaves.
-TEST_CASE("placement is balanced and changes no more than the share")
+// Guards against partition counts that differ by more than one, and against more moves than the
+// share of the instance that joins or leaves.
+TEST_CASE("placement stays balanced and moves no more than the share of one instance")
 {
     const auto [instances, partitions] = GENERATE(
         table<int, int>({{1, 4}, {3, 12}, {4, 16}, {4, 30}, {7, 28}, {40, 160}, {50, 333}}));
     const auto hooks = simulated_fleet::hooks();
     const placement_options options;
     simulated_fleet fleet(instances, partitions);
-    CHECK(fleet.settle(hooks, options) == 0);
+    CHECK(fleet.planUntilStable(hooks, options) == 0);
     CHECK(fleet.view().records.size() == static_cast<size_t>(partitions));
-    const int initial = fleet.spread();
+    const int initialSpread = fleet.partitionSpread();
 
-    fleet.join("new");
-    const int joinMoves = fleet.settle(hooks, options);
-    const int joined = fleet.spread();
+    fleet.addMember("new");
+    const int joinMoves = fleet.planUntilStable(hooks, options);
+    const int spreadAfterJoin = fleet.partitionSpread();
     const int joinShare = (partitions + instances) / (instances + 1);
 
-    const int leaving = fleet.counts()["i0"];
-    auto draining = hooks;
-    draining.condition = [](const member_record &member) {
+    const int leaveShare = fleet.counts()["i0"];
+    auto drainingHooks = hooks;
+    drainingHooks.condition = [](const member_record &member) {
         return member.id.name == "i0" ? member_condition::Draining : member_condition::Available;
     };
-    const int leaveMoves = fleet.settle(draining, options);
+    const int leaveMoves = fleet.planUntilStable(drainingHooks, options);
     CHECK(fleet.counts()["i0"] == 0);
-    fleet.leave("i0");
-    const int left = fleet.spread();
-    CHECK(fleet.settle(hooks, options) == 0);
+    fleet.removeMember("i0");
+    const int spreadAfterLeave = fleet.partitionSpread();
+    CHECK(fleet.planUntilStable(hooks, options) == 0);
 
-    std::cout << instances << " instances, " << partitions << " partitions: spread " << initial
-              << ", after join " << joined << " (" << joinMoves << " moves, share " << joinShare
-              << "), after leave " << left << " (" << leaveMoves << " moves, share " << leaving
-              << ")\n";
-    CHECK(initial <= 1);
-    CHECK(joined <= 1);
-    CHECK(left <= 1);
+    std::cout << instances << " instances, " << partitions << " partitions: spread "
+              << initialSpread << ", after join " << spreadAfterJoin << " (" << joinMoves
+              << " moves, share " << joinShare << "), after leave " << spreadAfterLeave << " ("
+              << leaveMoves << " moves, share " << leaveShare << ")\n";
+    CHECK(initialSpread <= 1);
+    CHECK(spreadAfterJoin <= 1);
+    CHECK(spreadAfterLeave <= 1);
     CHECK(joinMoves <= joinShare);
-    CHECK(leaveMoves == leaving);
+    CHECK(leaveMoves == leaveShare);
 }
 
-// Guards against moves of partitions whose owner can't hand them over, and against imbalance that
-// remains after standbys have claimed them all.
-TEST_CASE("partitions of a lost owner are left to the standbys")
+// Guards against planned moves of partitions whose owner is lost, since such moves cannot complete,
+// and against an imbalance that remains after the standbys have claimed these partitions.
+TEST_CASE("partitions of a lost owner are not moved but claimed by standbys")
 {
     const auto hooks = simulated_fleet::hooks();
     simulated_fleet fleet(5, 20);
-    fleet.settle(hooks, {});
-    fleet.leave("i2");
-    fleet.join("i2");
+    fleet.planUntilStable(hooks, {});
+    fleet.removeMember("i2");
+    fleet.addMember("i2");
     for (const auto &change : planPlacement(fleet.view(), "s", hooks, {})) {
         CHECK(fleet.view().findMember(change.record.owner) != nullptr);
     }
-    fleet.leave("i2");
-    fleet.settle(hooks, {});
+    fleet.removeMember("i2");
+    fleet.planUntilStable(hooks, {});
     fleet.claimByStandbys();
-    CHECK(fleet.spread() > 1);
-    CHECK(fleet.settle(hooks, {}) <= 4);
-    CHECK(fleet.spread() <= 1);
+    CHECK(fleet.partitionSpread() > 1);
+    CHECK(fleet.planUntilStable(hooks, {}) <= 4);
+    CHECK(fleet.partitionSpread() <= 1);
 }
 
-// Guards against a flood of moves, which would make many partitions unserved at once.
-TEST_CASE("moves under way are limited")
+// Guards against too many concurrent moves, which would make many partitions unavailable at once.
+TEST_CASE("the number of concurrent moves is limited")
 {
-    const auto [limit, underWay, expected] =
+    const auto [limit, inProgress, expected] =
         GENERATE(table<size_t, size_t, size_t>({{2, 0, 2}, {2, 1, 1}, {2, 2, 0}, {5, 1, 4}}));
     const auto hooks = simulated_fleet::hooks();
     simulated_fleet fleet(3, 60);
-    fleet.settle(hooks, {});
-    fleet.join("new");
+    fleet.planUntilStable(hooks, {});
+    fleet.addMember("new");
     placement_options options;
-    options.movesUnderWay = underWay;
+    options.maxConcurrentMoves = inProgress;
     for (const auto &change : planPlacement(fleet.view(), "s", hooks, options)) {
         fleet.write(change);
     }
-    options.movesUnderWay = limit;
+    options.maxConcurrentMoves = limit;
     const auto changes = planPlacement(fleet.view(), "s", hooks, options);
     CHECK(countOf(changes, change_kind::Move) == expected);
 }
 
-// Guards against a move whose target has gone, which would leave the partition without owner.
-TEST_CASE("a move to a lost target is cancelled")
+// Guards against moves to an instance that has left, which would leave partitions without owner.
+TEST_CASE("a move to an instance that has left is cancelled")
 {
     const auto hooks = simulated_fleet::hooks();
     simulated_fleet fleet(3, 12);
-    fleet.settle(hooks, {});
-    fleet.join("new");
+    fleet.planUntilStable(hooks, {});
+    fleet.addMember("new");
     for (const auto &change : planPlacement(fleet.view(), "s", hooks, {})) {
         fleet.write(change);
     }
-    fleet.leave("new");
+    fleet.removeMember("new");
     const auto changes = planPlacement(fleet.view(), "s", hooks, {});
     CHECK(countOf(changes, change_kind::CancelMove) == 2);
     CHECK(countOf(changes, change_kind::Move) == 0);
@@ -137,13 +137,13 @@
     }
 }
 
-// Guards against lost owners whose moves can't complete holding up all other moves.
-TEST_CASE("a move of a lost owner doesn't count as under way")
+// Guards against moves of lost owners that block all other moves: such moves cannot complete.
+TEST_CASE("a move of a lost owner does not count as a concurrent move")
 {
     const auto hooks = simulated_fleet::hooks();
     simulated_fleet fleet(3, 30);
-    fleet.settle(hooks, {});
-    fleet.join("new");
+    fleet.planUntilStable(hooks, {});
+    fleet.addMember("new");
     std::set<std::string> owners;
     for (const auto &change : planPlacement(fleet.view(), "s", hooks, {})) {
         fleet.write(change);
@@ -153,7 +153,7 @@
     }
     REQUIRE(owners.size() < 3);
     for (const auto &owner : owners) {
-        fleet.leave(owner);
+        fleet.removeMember(owner);
     }
     const auto changes = planPlacement(fleet.view(), "s", hooks, {});
     CHECK(countOf(changes, change_kind::Move) == 2);
@@ -162,19 +162,19 @@
     }
 }
 
-// Guards against partitions without successor after the loss of standbys.
+// Guards against partitions that run out of standbys because lost standbys are not replaced.
 TEST_CASE("lost standbys are replaced")
 {
     const auto hooks = simulated_fleet::hooks();
     simulated_fleet fleet(6, 24);
-    fleet.settle(hooks, {});
-    fleet.leave("i0");
+    fleet.planUntilStable(hooks, {});
+    fleet.removeMember("i0");
     placement_options options;
-    options.repairs = 3;
+    options.maxStandbyRepairs = 3;
     CHECK(countOf(planPlacement(fleet.view(), "s", hooks, options), change_kind::RepairStandbys)
           == 3);
     fleet.claimByStandbys();
-    fleet.settle(hooks, options);
+    fleet.planUntilStable(hooks, options);
     for (const auto &[partition, versioned] : fleet.view().records) {
         CHECK(versioned.record.standbys.size() == 3);
         for (const auto &standby : versioned.record.standbys) {
@@ -184,7 +184,8 @@
     }
 }
 
-TEST_CASE("nothing is created without witnesses, members or partitions")
+// Guards against incomplete records, and against records of services that cannot be placed.
+TEST_CASE("no record is created without witnesses, members or partitions")
 {
     const auto [name, instances, partitions, witnesses] =
         GENERATE(table<std::string, int, int, int>(
@@ -198,12 +199,13 @@
     CHECK(planPlacement(fleet.view(), "s", hooks, {}).empty());
 }
 
-// Guards against a second owner for hashes that a record of another division already covers.
-TEST_CASE("ranges that overlap a record are not created")
+// Guards against a second owner for hashes that already belong to a record, after the number of
+// partitions was changed.
+TEST_CASE("no record is created for a range that overlaps a record")
 {
     const auto hooks = simulated_fleet::hooks();
     simulated_fleet fleet(3, 12);
-    fleet.settle(hooks, {});
+    fleet.planUntilStable(hooks, {});
     service_document document;
     document.service = "s";
     document.partitions = 16;
@@ -211,22 +213,22 @@
     CHECK(planPlacement(fleet.view(), "s", hooks, {}).empty());
 }
 
-// Guards against placement that oscillates with the noise of the observed rates, and against load
-// moves that break the bound on numbers.
-TEST_CASE("load is evened out and placement comes to rest")
+// Guards against a placement that oscillates because the observed request rates are noisy, and
+// against load-driven moves that make the partition counts differ by more than one.
+TEST_CASE("load is balanced and the placement becomes stable")
 {
     const auto [instances, partitions, seed] =
         GENERATE(table<int, int, int>({{4, 16, 1}, {10, 40, 2}, {20, 80, 3}, {20, 160, 4}}));
     const auto hooks = simulated_fleet::hooks();
     simulated_fleet fleet(instances, partitions);
-    fleet.settle(hooks, {});
+    fleet.planUntilStable(hooks, {});
     std::mt19937_64 random(static_cast<uint64_t>(seed));
     std::exponential_distribution<double> rate(0.01);
     std::map<std::string, double> rates;
     for (const auto &[partition, record] : fleet.view().records) {
         rates[partition] = rate(random);
     }
-    // Load of the busiest instance relative to the mean.
+    // Returns the load of the busiest instance relative to the mean load.
     const auto imbalance = [&, instances = instances] {
         std::map<std::string, double> loads;
         double total = 0;
@@ -234,39 +236,40 @@
             loads[versioned.record.owner.name] += rates[partition];
             total += rates[partition];
         }
-        double most = 0;
+        double highest = 0;
         for (const auto &[name, load] : loads) {
-            most = std::max(most, load);
+            highest = std::max(highest, load);
         }
-        return most / (total / instances);
+        return highest / (total / instances);
     };
     const double before = imbalance();
     std::normal_distribution<double> noise(1.0, 0.05);
-    int early = 0;
-    int late = 0;
+    int movesInFirstHalf = 0;
+    int movesInSecondHalf = 0;
     constexpr int rounds = 400;
     for (int round = 0; round < rounds; ++round) {
         placement_options options;
         for (const auto &[partition, value] : rates) {
-            options.weights[partition] = value * noise(random);
+            options.requestRates[partition] = value * noise(random);
         }
-        const int moves = fleet.settle(hooks, options, 1);
-        (round < rounds / 2 ? early : late) += moves;
-        REQUIRE(fleet.spread() <= 1);
+        const int moves = fleet.planUntilStable(hooks, options, 1);
+        (round < rounds / 2 ? movesInFirstHalf : movesInSecondHalf) += moves;
+        REQUIRE(fleet.partitionSpread() <= 1);
     }
     std::cout << instances << " instances, " << partitions << " partitions: busiest at "
               << std::round(before * 100) << "% of the mean, then " << std::round(imbalance() * 100)
-              << "%; " << early << " moves in the first " << rounds / 2 << " rounds, " << late
-              << " in the next\n";
-    // Only hot keys can be split off a partition, so an instance keeps at least the load of one.
-    double heaviest = 0;
+              << "%; " << movesInFirstHalf << " moves in the first " << rounds / 2 << " rounds, "
+              << movesInSecondHalf << " in the next\n";
+    // A partition cannot be divided except for its hot keys, so the busiest instance has at least
+    // the load of the highestRate partition.
+    double highestRate = 0;
     double total = 0;
     for (const auto &[partition, value] : rates) {
-        heaviest = std::max(heaviest, value);
+        highestRate = std::max(highestRate, value);
         total += value;
     }
     CHECK(imbalance() < before);
-    CHECK(imbalance() <= std::max(1.2, heaviest / (total / instances)) + 0.1);
-    CHECK(early <= 4 * instances);
-    CHECK(late <= 4);
+    CHECK(imbalance() <= std::max(1.2, highestRate / (total / instances)) + 0.1);
+    CHECK(movesInFirstHalf <= 4 * instances);
+    CHECK(movesInSecondHalf <= 4);
 }
--- a/src/persimmonrail/balance/tests/simulated_fleet.h
+++ b/src/persimmonrail/balance/tests/simulated_fleet.h
@@ -8,7 +8,8 @@
 
 namespace persimmonrail {
 
-// A fleet of one service "s" whose view changes as planned writes take effect at once.
+// Simulates a fleet with one service "s". Planned writes take effect in the fleet's view
+// immediately.
 class simulated_fleet
 {
 public:
@@ -19,19 +20,22 @@
         document.partitions = partitions;
         m_view->documents["s"] = std::make_shared<const service_document>(document);
         for (int i = 0; i < instances; ++i) {
-            join("i" + std::to_string(i));
+            addMember("i" + std::to_string(i));
         }
     }
 
-    void join(const std::string &name)
+    // Adds a member under a new incarnation.
+    void addMember(const std::string &name)
     {
         m_view->members[name] = {
             {name, ++m_version}, "r", "z" + std::to_string(m_version % 3), "s", "127.0.0.1:1",
             "127.0.0.1:2",       10};
     }
 
-    void leave(const std::string &name) { m_view->members.erase(name); }
+    // Removes a member without moving its partitions.
+    void removeMember(const std::string &name) { m_view->members.erase(name); }
 
+    // Returns hooks that choose fixed witnesses, and the first three other members as standbys.
     static placement_hooks hooks()
     {
         placement_hooks hooks;
@@ -51,6 +55,7 @@
         return hooks;
     }
 
+    // Applies a planned change.
     void write(const record_change &change)
     {
         auto &record = m_view->records[change.record.partition];
@@ -58,7 +63,7 @@
         indexRecords(*m_view);
     }
 
-    // Completes the planned moves as their owners would.
+    // Completes the planned moves as their owners would; returns the number of moves.
     int completeMoves()
     {
         int moves = 0;
@@ -75,26 +80,28 @@
         return moves;
     }
 
-    // The first live standby of each record whose owner is gone takes over.
+    // Gives each partition without live owner to the first standby that is still a member.
     void claimByStandbys()
     {
         for (auto &[partition, versioned] : m_view->records) {
             auto &record = versioned.record;
-            const auto live = std::find_if(
+            const auto successor = std::find_if(
                 record.standbys.begin(), record.standbys.end(),
                 [&](const instance_id &id) { return m_view->findMember(id) != nullptr; });
-            if (m_view->findMember(record.owner) == nullptr && live != record.standbys.end()) {
-                record.owner = *live;
+            if (m_view->findMember(record.owner) == nullptr && successor != record.standbys.end()) {
+                record.owner = *successor;
                 versioned.version = ++m_version;
             }
         }
     }
 
-    // Plans and completes until nothing is left to do; returns the number of moves.
-    int settle(const placement_hooks &hooks, const placement_options &options, int limit = 1000)
+    // Applies plans and completes their moves until a plan is empty, at most `maxRounds` times.
+    // Returns the number of moves.
+    int planUntilStable(const placement_hooks &hooks, const placement_options &options,
+                        int maxRounds = 1000)
     {
         int moves = 0;
-        for (int i = 0; i < limit; ++i) {
+        for (int i = 0; i < maxRounds; ++i) {
             const auto changes = planPlacement(*m_view, "s", hooks, options);
             if (changes.empty()) {
                 break;
@@ -107,7 +114,7 @@
         return moves;
     }
 
-    // Partitions of each live member.
+    // Returns the number of partitions that each member owns.
     std::map<std::string, int> counts() const
     {
         std::map<std::string, int> counts;
@@ -122,15 +129,15 @@
         return counts;
     }
 
-    // Difference between the most and the fewest partitions of a member.
-    int spread() const
+    // Returns the difference between the highest and the lowest number of partitions of a member.
+    int partitionSpread() const
     {
         const auto all = counts();
-        const auto [least, most] =
+        const auto [lowest, highest] =
             std::minmax_element(all.begin(), all.end(), [](const auto &left, const auto &right) {
                 return left.second < right.second;
             });
-        return most->second - least->second;
+        return highest->second - lowest->second;
     }
 
     fleet_view &view() { return *m_view; }
