--- a/src/persimmonrail/fleet/fleet_directory.h
+++ b/src/persimmonrail/fleet/fleet_directory.h
@@ -13,31 +13,41 @@
 
 namespace persimmonrail {
 
-// Store keys of the fleet's objects. All share one prefix, so that one watch covers them.
+// Prefix of the store keys of all members and key placements, so that one watch covers all of them.
 inline constexpr char fleetPrefix[] = "fleet/";
+// Returns the store key of an upstream's member entry.
 std::string memberKey(const std::string &upstream);
+// Returns the store key of a service's key placement.
 std::string placementKey(const std::string &service);
 
-// Immutable view of the members and key placements at one revision of the store.
+// Members and key placements of the fleet at one revision of the store. A directory does not change
+// once it is built, so threads may share it.
 class fleet_directory
 {
 public:
+    // A key placement and the version of its object in the store.
     struct versioned_placement
     {
         key_placement placement;
         uint64_t version = 0;
     };
+    // A member and the version of its object in the store.
     struct versioned_member
     {
         upstream_member member;
         uint64_t version = 0;
     };
 
+    // Returns the revision of the store up to which the directory holds all changes.
     uint64_t revision() const { return m_revision; }
-    // All members of a service that are not gone.
+    // Returns the members of a service that are not terminated. The pointers are valid for the
+    // lifetime of the directory.
     std::vector<const upstream_member *> membersOf(std::string_view service) const;
+    // Returns the member entry of an upstream, or null if there is none.
     const versioned_member *findMember(std::string_view upstream) const;
+    // Returns the key placement of a service, or null if there is none.
     const versioned_placement *findPlacement(std::string_view service) const;
+    // Returns all members by upstream name, including terminated ones.
     const std::map<std::string, versioned_member, std::less<>> &members() const
     {
         return m_members;
@@ -50,35 +60,42 @@
     std::map<std::string, versioned_placement, std::less<>> m_placements;
 };
 
-// Returns the members behind a peer port that are not `present` and not known to be gone, as gone:
-// a host has one upstream, so they have ended.
+// Returns the members at `peerAddress` that have another name than `present` and that the directory
+// does not show as terminated. The returned entries are marked as draining and terminated: a host
+// runs only one upstream at a time, so the upstreams that ran beside the same daemon before
+// `present` have ended.
 std::vector<upstream_member> earlierIncarnations(const fleet_directory &directory,
                                                  std::string_view peerAddress,
                                                  const upstream_id &present);
 
-// Builds directories from objects of the store. Objects that can't be read are reported and name
-// nothing. Not thread safe.
+// Builds directories from objects of the store. An object that cannot be parsed is reported to the
+// error hook and otherwise ignored. Not thread safe.
 class fleet_directory_builder
 {
 public:
-    using fault_hook = std::function<void(const std::string &key, std::string_view reason)>;
-    explicit fleet_directory_builder(fault_hook onFault);
+    // Receives the store key of an object that cannot be parsed, and the reason.
+    using error_hook = std::function<void(const std::string &key, std::string_view reason)>;
+    explicit fleet_directory_builder(error_hook onError);
 
-    // Takes the whole content of the store at the list's revision. What is known to be newer stays:
-    // own writes may be known before a list that was read earlier.
+    // Replaces the content by the complete list of the store's objects at the list's revision.
+    // Entries with a version above this revision stay: the daemon may learn the results of its own
+    // writes before it receives a list that was read earlier.
     void reset(const object_list &list);
-    // Applies changes in order.
+    // Applies changes in order and advances the revision.
     void apply(const object_list &changes);
-    // Takes one object, if it is newer than the known one.
+    // Applies one object if it is newer than the known entry. The revision stays the same.
     void applyOne(const stored_object &object);
+    // Returns a copy of the present content.
     std::shared_ptr<const fleet_directory> build() const;
 
 private:
+    // Adds or replaces the entry of an object, unless the known entry is as new.
     void put(const stored_object &object);
+    // Removes the entry of a deleted object if the entry is older than `version`.
     void erase(const std::string &key, uint64_t version);
 
-    const fault_hook m_onFault;
-    fleet_directory m_current;
+    const error_hook m_onError;
+    fleet_directory m_directory;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/fleet/local_upstream.cpp
+++ b/src/persimmonrail/fleet/local_upstream.cpp
@@ -33,22 +33,22 @@
     if (isOfEarlierIncarnation(report)) {
         return verdict::Stale;
     }
-    const bool isSameLife = m_report && report.id == m_report->id;
-    if (isSameLife && report.sequence <= m_report->sequence) {
+    const bool isSameIncarnation = m_report && report.id == m_report->id;
+    if (isSameIncarnation && report.sequence <= m_report->sequence) {
         return verdict::Stale;
     }
-    // A life that has ended or said that it leaves does not come back.
-    const bool hasLeft =
-        isSameLife && (m_phase == upstream_phase::Draining || m_phase == upstream_phase::Absent);
-    const upstream_phase before = m_phase;
-    const bool sameFigures = isSameLife && report.slots == m_report->slots
+    // An incarnation that has ended or announced its shutdown does not become ready again.
+    const bool hasDeparted = isSameIncarnation
+        && (m_phase == upstream_phase::Draining || m_phase == upstream_phase::Absent);
+    const upstream_phase previousPhase = m_phase;
+    const bool hasSameValues = isSameIncarnation && report.slots == m_report->slots
         && report.address == m_report->address && report.service == m_report->service;
     m_report = report;
-    m_reportedAt = now;
-    if (!hasLeft) {
+    m_lastReportAt = now;
+    if (!hasDeparted) {
         m_phase = report.isDraining ? upstream_phase::Draining : upstream_phase::Ready;
     }
-    return sameFigures && m_phase == before ? verdict::Unchanged : verdict::Changed;
+    return hasSameValues && m_phase == previousPhase ? verdict::Unchanged : verdict::Changed;
 }
 
 local_upstream::verdict local_upstream::onDeparture(const upstream_id &id, steady_time now)
@@ -57,7 +57,7 @@
         || (id.startedAt != 0 && id.startedAt != m_report->id.startedAt)) {
         return verdict::Stale;
     }
-    m_reportedAt = now;
+    m_lastReportAt = now;
     if (m_phase == upstream_phase::Draining || m_phase == upstream_phase::Absent) {
         return verdict::Unchanged;
     }
@@ -76,7 +76,7 @@
 
 void local_upstream::onResponse(steady_time now)
 {
-    m_respondedAt = std::max(m_respondedAt, now);
+    m_lastResponseAt = std::max(m_lastResponseAt, now);
     if (m_phase == upstream_phase::Silent) {
         m_phase = upstream_phase::Ready;
     }
@@ -84,9 +84,9 @@
 
 bool local_upstream::expire(steady_time now)
 {
-    const auto limit = m_options.reportInterval * m_options.missedReports;
-    if (m_phase != upstream_phase::Ready || now - m_reportedAt < limit
-        || now - m_respondedAt < limit) {
+    const auto timeout = m_options.reportInterval * m_options.maxMissedReports;
+    if (m_phase != upstream_phase::Ready || now - m_lastReportAt < timeout
+        || now - m_lastResponseAt < timeout) {
         return false;
     }
     m_phase = upstream_phase::Silent;
--- a/src/persimmonrail/fleet/local_upstream.h
+++ b/src/persimmonrail/fleet/local_upstream.h
@@ -6,65 +6,80 @@
 
 namespace persimmonrail {
 
+// Settings of the failure detection of the local upstream.
 struct local_upstream_options
 {
-    // Time between two reports.
+    // Interval at which the upstream sends reports.
     milliseconds reportInterval{1000};
-    // Reports that may be missed before the upstream counts as silent.
-    int missedReports = 3;
+    // Number of missed reports in a row after which the upstream counts as unresponsive.
+    int maxMissedReports = 3;
 };
 
+// State of the local upstream, as far as its daemon knows.
 enum class upstream_phase {
-    // Nothing was heard of an upstream, or it is known to have ended.
+    // The daemon has received no report yet, or the upstream is known to have ended.
     Absent,
-    // Takes work.
+    // The upstream accepts requests.
     Ready,
-    // Announced that it leaves; takes no new work.
+    // The upstream has announced its shutdown and accepts no new requests.
     Draining,
-    // Reports are overdue. It may have stopped, or only its reports are held up.
+    // The upstream is unresponsive: reports are overdue and no request has succeeded meanwhile. The
+    // upstream may have stopped, or only its reports may be delayed.
     Silent,
 };
 
-// What the daemon believes of the upstream beside it. No clock, no I/O. Not thread safe.
+// Tracks the phase of the local upstream by its reports and by the results of requests. Reads no
+// clock and does no I/O. Not thread safe.
 class local_upstream
 {
 public:
     explicit local_upstream(local_upstream_options options = {});
 
+    // Effect of an event on the tracked state.
     enum class verdict {
-        // The belief changed: another life, another phase or other figures.
+        // The incarnation, the phase, the slots, the address or the service has changed.
         Changed,
         Unchanged,
-        // From an earlier life, or older than the newest report of this one.
+        // The event belongs to another incarnation than the present one, or is no newer than the
+        // newest report of the present one. The event was ignored.
         Stale,
     };
+    // Handles a report. A report of another incarnation that did not start earlier than the present
+    // one replaces the present one. An incarnation that drains or has ended does not become ready
+    // again.
     verdict onReport(const upstream_report &report, steady_time now);
-    // The upstream says that it leaves and sends no further reports. `id` without a start time
-    // speaks for the present life of that name.
+    // Handles the announcement that the upstream shuts down and sends no further reports. An `id`
+    // without a start time stands for the present incarnation of that name.
     verdict onDeparture(const upstream_id &id, steady_time now);
-    // A connection to its address was refused: the process is gone.
+    // Handles a refused connection to the upstream's address, which shows that its process has
+    // ended.
     verdict onRefusedConnection(steady_time now);
-    // Requests succeed although reports are overdue.
+    // Handles a response to a request. An unresponsive upstream becomes ready again, since only its
+    // reports are delayed.
     void onResponse(steady_time now);
-    // Notes overdue reports; returns whether the phase changed.
+    // Marks a ready upstream as unresponsive if both its reports and its responses are overdue.
+    // Returns whether the phase changed.
     bool expire(steady_time now);
 
     upstream_phase phase() const { return m_phase; }
     bool acceptsRequests() const { return m_phase == upstream_phase::Ready; }
-    // The newest report; empty before the first one.
+    // Returns the newest report; empty before the first one.
     const std::optional<upstream_report> &report() const { return m_report; }
-    steady_time lastReportAt() const { return m_reportedAt; }
+    // Returns when the newest report or the announcement of the shutdown arrived.
+    steady_time lastReportAt() const { return m_lastReportAt; }
 
 private:
+    // Returns whether the report is from an incarnation that started before the present one.
     bool isOfEarlierIncarnation(const upstream_report &report) const;
 
     const local_upstream_options m_options;
     upstream_phase m_phase = upstream_phase::Absent;
     std::optional<upstream_report> m_report;
-    steady_time m_reportedAt{};
-    steady_time m_respondedAt{};
+    steady_time m_lastReportAt{};
+    steady_time m_lastResponseAt{};
 };
 
+// Returns "absent", "ready", "draining" or "silent".
 std::string_view toString(upstream_phase phase);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/fleet/tests/fleet_test.cpp
+++ b/src/persimmonrail/fleet/tests/fleet_test.cpp
@@ -14,14 +14,14 @@
 upstream_report report(const std::string &name, int64_t startedAt, int64_t sequence,
                        bool isDraining = false)
 {
-    upstream_report made;
-    made.id = {name, startedAt};
-    made.service = "ledger";
-    made.address = "127.0.0.1:8000";
-    made.slots = 9;
-    made.sequence = sequence;
-    made.isDraining = isDraining;
-    return made;
+    upstream_report result;
+    result.id = {name, startedAt};
+    result.service = "ledger";
+    result.address = "127.0.0.1:8000";
+    result.slots = 9;
+    result.sequence = sequence;
+    result.isDraining = isDraining;
+    return result;
 }
 
 upstream_member member(const std::string &name)
@@ -31,8 +31,8 @@
 
 } // namespace
 
-// Guards against late or repeated reports that bring back a life or a state that has ended.
-TEST_CASE("reports out of order change nothing", "[fleet]")
+// Guards against a late or repeated report that restores an earlier incarnation or phase.
+TEST_CASE("late and repeated reports are ignored", "[fleet]")
 {
     local_upstream upstream({1000ms, 3});
     CHECK(upstream.onReport(report("a", 10, 2), start) == verdict::Changed);
@@ -40,26 +40,26 @@
     CHECK(upstream.onReport(report("a", 10, 1, true), start) == verdict::Stale);
     CHECK(upstream.onReport(report("old", 9, 50), start) == verdict::Stale);
     CHECK(upstream.acceptsRequests());
-    SECTION("a restart under the same name counts from the beginning")
+    SECTION("a restart under the same name starts a new sequence")
     {
         CHECK(upstream.onReport(report("a", 20, 1), start) == verdict::Changed);
         CHECK(upstream.report()->id.startedAt == 20);
         CHECK(upstream.onReport(report("a", 10, 99), start) == verdict::Stale);
     }
-    SECTION("a life that leaves does not return")
+    SECTION("a draining incarnation does not become ready again")
     {
         CHECK(upstream.onReport(report("a", 10, 3, true), start) == verdict::Changed);
         CHECK(upstream.onReport(report("a", 10, 4), start) == verdict::Unchanged);
         CHECK(upstream.phase() == upstream_phase::Draining);
     }
-    SECTION("a departure speaks for its own life only")
+    SECTION("a departure applies to its own incarnation only")
     {
         CHECK(upstream.onDeparture({"b", 0}, start) == verdict::Stale);
         CHECK(upstream.onDeparture({"a", 9}, start) == verdict::Stale);
         CHECK(upstream.onDeparture({"a", 0}, start) == verdict::Changed);
         CHECK_FALSE(upstream.acceptsRequests());
     }
-    SECTION("a refused connection ends the life")
+    SECTION("a refused connection ends the incarnation")
     {
         CHECK(upstream.onRefusedConnection(start) == verdict::Changed);
         CHECK(upstream.onReport(report("a", 10, 3), start) == verdict::Unchanged);
@@ -69,9 +69,9 @@
     }
 }
 
-// Guards against work for an upstream that has fallen silent, and against giving up one that
-// answers while only its reports are held up.
-TEST_CASE("an upstream is silent when neither reports nor answers come", "[fleet]")
+// Guards against requests to an unresponsive upstream, and against treating an upstream as
+// unresponsive that still responds to requests while its reports are delayed.
+TEST_CASE("an upstream is unresponsive without reports and responses", "[fleet]")
 {
     local_upstream upstream({1000ms, 3});
     upstream.onReport(report("a", 10, 1), start);
@@ -84,7 +84,7 @@
     CHECK(upstream.acceptsRequests());
 }
 
-TEST_CASE("members keep their values in the store", "[fleet]")
+TEST_CASE("a member stays the same when it is encoded and parsed", "[fleet]")
 {
     upstream_member original = member("i-1");
     original.host = {0.25, 15.5};
@@ -93,8 +93,8 @@
     CHECK(*parsed == original);
 }
 
-// Guards against entries of other writers that end the process or are taken for members.
-TEST_CASE("entries that can't be read name nothing", "[fleet]")
+// Guards against invalid objects from other writers that crash the daemon or become members.
+TEST_CASE("objects that cannot be parsed are reported and ignored", "[fleet]")
 {
     const std::string text =
         GENERATE("", "null", "[]", "{", R"({"upstream":1})", R"({"upstream":"i-1"})",
@@ -104,19 +104,19 @@
                  R"("peer_address":"host:1","slots":1,"leaving":false,"gone":false})",
                  R"({"upstream":"i-1","started_at_ms":1,"service":"s","availability_zone":"z",)"
                  R"("peer_address":"127.0.0.1:1","slots":0,"leaving":false,"gone":false})");
-    int faults = 0;
-    fleet_directory_builder builder([&faults](const std::string &, std::string_view) { ++faults; });
+    int errors = 0;
+    fleet_directory_builder builder([&errors](const std::string &, std::string_view) { ++errors; });
     builder.reset({3,
                    {{memberKey("i-1"), 2, false, text},
                     {memberKey("i-2"), 3, false, encodeMember(member("i-2"))}}});
     const auto directory = builder.build();
-    CHECK(faults == 1);
+    CHECK(errors == 1);
     CHECK(directory->findMember("i-1") == nullptr);
     CHECK(directory->membersOf("ledger").size() == 1);
 }
 
-// Guards against an older state of an object that replaces a newer one.
-TEST_CASE("objects move forward only", "[fleet]")
+// Guards against an older version of an object that replaces a newer one.
+TEST_CASE("an older version never replaces a newer one", "[fleet]")
 {
     fleet_directory_builder builder([](const std::string &, std::string_view) {});
     upstream_member newer = member("i-1");
@@ -130,16 +130,14 @@
     CHECK(builder.build()->findMember("i-1") == nullptr);
 }
 
-// Guards against keys that stay with an upstream which ended together with the daemon beside it:
-// the daemon that starts again knows it from the store only.
-// Guards against an owner that grants keys again which it has just given away: its own write is
-// known before a list that was read earlier.
-TEST_CASE("a list does not take back what is newer", "[fleet]")
+// Guards against an owner that grants keys again after it has moved them to another owner: its own
+// write is known before a list arrives that was read earlier.
+TEST_CASE("a list does not replace newer entries", "[fleet]")
 {
     fleet_directory_builder builder([](const std::string &, std::string_view) {});
-    upstream_member leaving = member("a");
-    leaving.isDraining = true;
-    builder.applyOne({memberKey("a"), 12, false, encodeMember(leaving)});
+    upstream_member draining = member("a");
+    draining.isDraining = true;
+    builder.applyOne({memberKey("a"), 12, false, encodeMember(draining)});
     builder.applyOne({memberKey("b"), 13, false, encodeMember(member("b"))});
     builder.applyOne({memberKey("c"), 3, false, encodeMember(member("c"))});
     builder.reset({10, {{memberKey("a"), 8, false, encodeMember(member("a"))}}});
@@ -147,19 +145,21 @@
     REQUIRE(directory->findMember("a") != nullptr);
     CHECK(directory->findMember("a")->member.isDraining);
     CHECK(directory->findMember("b") != nullptr);
-    // It was removed before the list was read.
+    // The list was read after the removal of "c".
     CHECK(directory->findMember("c") == nullptr);
 }
 
-TEST_CASE("members behind the same port that report no more are gone", "[fleet]")
+// Guards against keys that stay with an upstream which ended together with the daemon beside it.
+// The restarted daemon knows that upstream from the store only.
+TEST_CASE("earlier members at the same peer address are terminated", "[fleet]")
 {
     fleet_directory_builder builder([](const std::string &, std::string_view) {});
-    upstream_member elsewhere = member("i-3");
-    elsewhere.peerAddress = "127.0.0.2:9000";
-    upstream_member ended = member("i-4");
-    ended.isTerminated = true;
-    for (const upstream_member &known : {member("i-1"), member("i-2"), elsewhere, ended}) {
-        builder.applyOne({memberKey(known.id.name), 1, false, encodeMember(known)});
+    upstream_member onOtherHost = member("i-3");
+    onOtherHost.peerAddress = "127.0.0.2:9000";
+    upstream_member terminated = member("i-4");
+    terminated.isTerminated = true;
+    for (const upstream_member &entry : {member("i-1"), member("i-2"), onOtherHost, terminated}) {
+        builder.applyOne({memberKey(entry.id.name), 1, false, encodeMember(entry)});
     }
     const auto earlier = earlierIncarnations(*builder.build(), "127.0.0.1:9000", {"i-2", 9});
     REQUIRE(earlier.size() == 1);
--- a/src/persimmonrail/fleet/upstream_member.cpp
+++ b/src/persimmonrail/fleet/upstream_member.cpp
@@ -44,13 +44,14 @@
             member.availabilityZone = object.getValue<std::string>("availability_zone");
             member.peerAddress = object.getValue<std::string>("peer_address");
             member.slots = object.getValue<int>("slots");
-            // Daemons of earlier versions do not state these.
+            // Daemons of earlier versions do not write these two fields.
             member.host.processors = object.optValue<double>("processors", 0);
             member.host.linkMbps = object.optValue<double>("link_mbps", 0);
             member.isDraining = object.getValue<bool>("leaving");
             member.isTerminated = object.getValue<bool>("gone");
             if (member.id.isEmpty() || member.service.empty() || member.slots < 1) {
-                return absl::InvalidArgumentError("member without name, service or slots");
+                return absl::InvalidArgumentError(
+                    "the member must have a name, a service and at least 1 slot");
             }
             if (const auto address = parseSocketAddress(member.peerAddress); !address.ok()) {
                 return address.status();
--- a/src/persimmonrail/fleet/upstream_member.h
+++ b/src/persimmonrail/fleet/upstream_member.h
@@ -11,7 +11,8 @@
 
 namespace persimmonrail {
 
-// One life of an upstream. A restart under the same name has a later start time.
+// Identifies one incarnation of an upstream, i.e. one run of its process. A restart under the same
+// name has a later start time.
 struct upstream_id
 {
     std::string name;
@@ -23,33 +24,37 @@
     {
         return std::tie(name, startedAt) < std::tie(other.name, other.startedAt);
     }
+    // Returns whether the id names no upstream.
     bool isEmpty() const { return name.empty(); }
 };
 
+// Returns "<name>/<start time>", or an empty string for an empty id.
 std::string toString(const upstream_id &id);
 
-// What an upstream says of itself to the daemon beside it.
+// State that an upstream reports to the daemon beside it.
 struct upstream_report
 {
     upstream_id id;
     std::string service;
-    // "ip:port" for requests; reachable from the same host only.
+    // "ip:port" at which the upstream accepts requests; reachable from the same host only.
     std::string address;
     std::string availabilityZone;
+    // Number of requests that the upstream runs at a time.
     int slots = 0;
+    // Whether the upstream shuts down and accepts no new requests.
     bool isDraining = false;
-    // How much longer it stays slow after its start.
+    // Time for which the upstream will still be slow because it started recently.
     milliseconds warmUpRemaining{0};
-    // Increases with each report of one life.
+    // Increases with each report of one incarnation.
     int64_t sequence = 0;
 };
 
-// What a host has for its daemon; 0 stands for unknown.
+// Resources of a host that its daemon may use; 0 stands for unknown.
 struct host_resources
 {
-    // In processors of the usual speed.
+    // Processor share, in processors of the usual speed.
     double processors = 0;
-    // Of its link, 10^6 bits a second.
+    // Bandwidth of the host's network link, in 10^6 bits per second.
     double linkMbps = 0;
 
     bool operator==(const host_resources &) const = default;
@@ -59,30 +64,34 @@
     }
 };
 
-// What the daemon beside an upstream publishes for the fleet.
+// Entry for an upstream that the daemon beside it publishes to the fleet.
 struct upstream_member
 {
     upstream_id id;
     std::string service;
     std::string availabilityZone;
-    // Peer port of the daemon beside it, "ip:port".
+    // "ip:port" at which the daemon beside the upstream accepts requests from other daemons.
     std::string peerAddress;
+    // Number of requests that the upstream runs at a time.
     int slots = 0;
-    // Takes no new work, since the upstream leaves or its daemon stops.
+    // Whether the upstream accepts no new requests, because it shuts down or because its daemon
+    // stops.
     bool isDraining = false;
-    // The upstream is gone; nothing of it runs any more and it holds no key.
+    // Whether the upstream has ended. A terminated upstream runs no requests and holds no keys.
     bool isTerminated = false;
     host_resources host = {};
 
     bool operator==(const upstream_member &) const = default;
 };
 
-// Order in which members do work for others, such as passing on what changes: the strongest hosts
-// come first, since the weakest have hardly enough for their own requests.
+// Returns whether `a` is preferred to `b` for work on behalf of other members, such as relaying
+// changes of the store. Hosts with more resources are preferred, since the smallest hosts have
+// barely enough capacity for their own requests. Equal hosts are ordered by upstream id.
 bool hasMoreCapacity(const upstream_member &a, const upstream_member &b);
 
+// Returns the member as a JSON object.
 std::string encodeMember(const upstream_member &member);
-// Errors: InvalidArgument.
+// Parses the JSON object that encodeMember() returns. Errors: InvalidArgument.
 absl::StatusOr<upstream_member> parseMember(std::string_view json);
 
 } // namespace persimmonrail
