--- a/src/persimmonrail/upstream/announcement.cpp
+++ b/src/persimmonrail/upstream/announcement.cpp
@@ -28,6 +28,7 @@
     return absl::InvalidArgumentError("not a JSON object");
 }
 
+// Parses exactly 16 hexadecimal digits. Returns false if the text is anything else.
 bool parseHash(const std::string &text, uint64_t &hash)
 {
     const char *const end = text.data() + text.size();
--- a/src/persimmonrail/upstream/tests/announcement_test.cpp
+++ b/src/persimmonrail/upstream/tests/announcement_test.cpp
@@ -4,8 +4,8 @@
 
 using namespace persimmonrail;
 
-// Guards against announcements that are accepted with a field missing or out of range.
-TEST_CASE("announcements are checked field by field", "[upstream]")
+// Guards against accepting an announcement in which a field is missing or out of range.
+TEST_CASE("each field of an announcement is validated", "[upstream]")
 {
     const std::string valid =
         R"({"service":"ledger","instance":"ledger-1","address":"127.0.0.1:1",)"
@@ -43,8 +43,8 @@
     }
 }
 
-// Guards against hash bounds that lose digits in JSON numbers.
-TEST_CASE("grants keep all 64 bits of their bounds", "[upstream]")
+// Guards against hash bounds that lose precision because they are written as JSON numbers.
+TEST_CASE("grants preserve all 64 bits of their hash bounds", "[upstream]")
 {
     const hash_range range{0x8000000000000001ULL, 0xffffffffffffffffULL};
     int64_t validMs = 0;
--- a/src/persimmonrail/upstream/tests/response_input_test.cpp
+++ b/src/persimmonrail/upstream/tests/response_input_test.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-constexpr milliseconds generous{60'000};
-constexpr uint64_t responses = 200;
+// Long enough not to elapse while a test runs.
+constexpr milliseconds testTimeout{60'000};
+constexpr uint64_t responseCount = 200;
 
-class counting_sink : public response_sink
+class discarding_sink : public response_sink
 {
 public:
     bool begin(const Poco::Net::HTTPResponse &, const body_framing &, std::string_view,
@@ -24,8 +25,9 @@
     bool finish() override { return true; }
 };
 
-// Answers each request with the next mutation of a message and closes the connection.
-scripted_server::script faultyResponses(const std::vector<std::string> &messages)
+// Responds to the request on each connection with a mutation of one of the messages and closes the
+// connection. The connection's index is the seed of the mutation.
+scripted_server::script malformedResponses(const std::vector<std::string> &messages)
 {
     return [messages](Poco::Net::StreamSocket &socket, int index) {
         if (!readHeadText(socket).empty()) {
@@ -36,11 +38,11 @@
 
 } // namespace
 
-// Guards against an answer of the upstream that ends the daemon, or a broken one that is passed on
-// as a refusal (P4).
-TEST_CASE("faulty answers of the upstream give an outcome", "[upstream][input]")
+// Guards against a malformed response of the upstream that terminates the daemon, or that is
+// reported as "not run" although the request may have run (requirement P4 in docs/design.md).
+TEST_CASE("malformed responses of the upstream result in an outcome", "[upstream][input]")
 {
-    const scripted_server server(faultyResponses(
+    const scripted_server server(malformedResponses(
         {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
          "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"}));
@@ -48,17 +50,17 @@
     const steady_time start = std::chrono::steady_clock::now();
     REQUIRE(upstreamClient
                 .announce({"standin", "standin-1", server.address(), 10, "b", false, true},
-                          start + generous)
+                          start + testTimeout)
                 .ok());
-    for (uint64_t i = 0; i < responses; ++i) {
+    for (uint64_t i = 0; i < responseCount; ++i) {
         CAPTURE(i);
         const steady_time now = std::chrono::steady_clock::now();
         dispatch_request request;
         request.message.setMethod("GET");
         request.message.setURI("/standin/x");
         request.requestId = "r";
-        request.deadline = now + generous;
-        counting_sink sink;
+        request.deadline = now + testTimeout;
+        discarding_sink sink;
         const dispatch_result result = upstreamClient.dispatch(request, sink, now);
         CHECK(result.outcome != request_outcome::NotRun);
         CHECK_FALSE(result.reason.empty());
@@ -66,20 +68,20 @@
     }
 }
 
-// Guards against an answer of the platform that ends the daemon.
-TEST_CASE("faulty answers of the platform give a status", "[upstream][input]")
+// Guards against a malformed response of the platform that terminates the daemon.
+TEST_CASE("malformed responses of the platform result in a status", "[upstream][input]")
 {
     const auto message = [](const std::string &body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
             + body;
     };
-    const scripted_server server(faultyResponses(
+    const scripted_server server(malformedResponses(
         {message(R"({"key":"k","version":3,"value":"v"})"),
          message(R"({"revision":9,"objects":[{"key":"k","version":3,"value":"v"}]})"),
          message(R"({"revision":9,"events":[{"key":"k","version":3,"deleted":true}]})"),
          message(R"({"version":4})")}));
-    const auto api = makeHttpObjectApi(server.address(), generous);
-    for (uint64_t i = 0; i < responses / 4; ++i) {
+    const auto api = makeHttpObjectApi(server.address(), testTimeout);
+    for (uint64_t i = 0; i < responseCount / 4; ++i) {
         CAPTURE(i);
         const auto object = api.get("k");
         CHECK((!object.ok() || object->key == "k"));
--- a/src/persimmonrail/upstream/tests/upstream_client_test.cpp
+++ b/src/persimmonrail/upstream/tests/upstream_client_test.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-constexpr milliseconds generous{60'000};
+// Long enough not to elapse while a test runs.
+constexpr milliseconds testTimeout{60'000};
 
 steady_time currentTime()
 {
@@ -66,18 +67,18 @@
     size_t m_position = 0;
 };
 
-// A body of one byte that comes at a given time.
+// A body of one byte that becomes available at a given time.
 class stalling_body : public body_source
 {
 public:
-    explicit stalling_body(steady_time comesAt)
-        : m_comesAt(comesAt)
+    explicit stalling_body(steady_time availableAt)
+        : m_availableAt(availableAt)
     { }
     body_framing framing() const override { return {body_framing::kind::Length, 1}; }
     io_status read(std::string &piece, steady_time until) override
     {
-        std::this_thread::sleep_until(std::min(until, m_comesAt));
-        if (currentTime() < m_comesAt) {
+        std::this_thread::sleep_until(std::min(until, m_availableAt));
+        if (currentTime() < m_availableAt) {
             return io_status::TimedOut;
         }
         piece = m_isRead ? "" : "b";
@@ -87,12 +88,12 @@
     bool rewind() override { return false; }
 
 private:
-    const steady_time m_comesAt;
+    const steady_time m_availableAt;
     bool m_isRead = false;
 };
 
-dispatch_request requestFor(const std::string &method, const std::string &uri,
-                            const std::string &id)
+dispatch_request makeRequest(const std::string &method, const std::string &uri,
+                             const std::string &id)
 {
     dispatch_request request;
     request.message.setMethod(method);
@@ -101,18 +102,18 @@
     request.partition = "standin/a";
     request.term = 3;
     request.keyHash = 5;
-    request.deadline = currentTime() + generous;
+    request.deadline = currentTime() + testTimeout;
     return request;
 }
 
-upstream_announcement announcementOf(const std::string &address, const std::string &bootId = "b1")
+upstream_announcement makeAnnouncement(const std::string &address, const std::string &bootId = "b1")
 {
     return {"standin", "standin-1", address, 10, bootId, false, true};
 }
 
-struct guarded_standin
+struct upstream_fixture
 {
-    guarded_standin()
+    upstream_fixture()
     {
         auto started = upstream_standin::start({});
         REQUIRE(started.ok());
@@ -121,8 +122,9 @@
     }
     void grant(uint64_t term)
     {
-        REQUIRE(upstreamClient.pushGrants({{"standin/a", term, {0, 10}}}, generous, currentTime())
-                    .ok());
+        REQUIRE(
+            upstreamClient.pushGrants({{"standin/a", term, {0, 10}}}, testTimeout, currentTime())
+                .ok());
     }
     dispatch_result run(const dispatch_request &request)
     {
@@ -137,21 +139,21 @@
 
 } // namespace
 
-// Guards against an upstream that counts as up after it stopped announcing itself, and against a
-// restart that goes unnoticed.
+// Guards against an upstream that is treated as up although its announcements have stopped, and
+// against a restart that is not detected.
 TEST_CASE("the state follows announcements", "[upstream]")
 {
-    std::vector<std::string> seen;
+    std::vector<std::string> events;
     upstream_callbacks callbacks;
-    callbacks.stateChanged = [&](upstream_state state, const upstream_announcement &) {
-        seen.emplace_back(toString(state));
+    callbacks.onStateChanged = [&](upstream_state state, const upstream_announcement &) {
+        events.emplace_back(toString(state));
     };
-    callbacks.restarted = [&](const upstream_announcement &announcement) {
-        seen.push_back("restarted " + announcement.bootId);
+    callbacks.onRestarted = [&](const upstream_announcement &announcement) {
+        events.push_back("restarted " + announcement.bootId);
     };
     upstream_client upstreamClient({}, callbacks);
     const steady_time start;
-    upstream_announcement announcement = announcementOf("127.0.0.1:1");
+    upstream_announcement announcement = makeAnnouncement("127.0.0.1:1");
     CHECK(upstreamClient.status(start).state == upstream_state::Down);
     CHECK(upstreamClient.announce(announcement, start).ok());
     CHECK(upstreamClient.isUp(start + 2999ms));
@@ -165,18 +167,19 @@
     CHECK(upstreamClient.announce(announcement, start + 6s).ok());
     CHECK(upstreamClient.announce(announcement, start + 7s).ok());
     CHECK(upstreamClient.status(start + 8s).drainingFor == 2s);
-    CHECK(seen == std::vector<std::string>{"up", "down", "up", "restarted b2", "draining"});
+    CHECK(events == std::vector<std::string>{"up", "down", "up", "restarted b2", "draining"});
 
     announcement.instance = "standin-2";
     CHECK(absl::IsFailedPrecondition(upstreamClient.announce(announcement, start + 8s)));
     CHECK(upstreamClient.announce(announcement, start + 11s).ok());
 }
 
-// Guards P3 and P4 at the hand-over: what the caller is told follows from what the upstream did.
-TEST_CASE("requests run under the granted term only", "[upstream]")
+// Guards against an outcome that differs from what the upstream did (requirements P3 and P4 in
+// docs/design.md).
+TEST_CASE("requests run only under the granted term", "[upstream]")
 {
-    guarded_standin fixture;
-    dispatch_request request = requestFor("POST", "/standin/x", "r1");
+    upstream_fixture fixture;
+    dispatch_request request = makeRequest("POST", "/standin/x", "r1");
     dispatch_result result = fixture.run(request);
     CHECK(result.outcome == request_outcome::NotRun);
     CHECK(result.reason == "stale-grant");
@@ -193,9 +196,9 @@
     CHECK(history[0].term == 3);
 }
 
-TEST_CASE("bodies of every size are whole and unchanged", "[upstream]")
+TEST_CASE("bodies of every size are transferred completely and unchanged", "[upstream]")
 {
-    guarded_standin fixture;
+    upstream_fixture fixture;
     fixture.grant(3);
     for (const size_t size : {size_t{0}, size_t{1}, size_t{4096}, bodyPieceBytes,
                               bodyPieceBytes + 1, size_t{5 * 1024 * 1024}}) {
@@ -206,11 +209,11 @@
                 bytes[i] = static_cast<char>(i * 131 + i / 256);
             }
             text_body body(bytes);
-            dispatch_request put = requestFor("PUT", "/standin/photo", "put");
+            dispatch_request put = makeRequest("PUT", "/standin/photo", "put");
             put.body = &body;
             REQUIRE(fixture.run(put).outcome == request_outcome::Run);
             CHECK(fixture.sink.head.get("X-Checksum") == standinChecksum(bytes));
-            dispatch_request get = requestFor("GET", "/standin/photo", "get");
+            dispatch_request get = makeRequest("GET", "/standin/photo", "get");
             if (chunked) {
                 get.message.set("X-Chunked", "1");
             }
@@ -219,68 +222,71 @@
 
             if (size > 1) {
                 get.message.set("X-Truncate", std::to_string(size - 1));
-                const dispatch_result cut = fixture.run(get);
-                CHECK(cut.outcome == request_outcome::Unknown);
-                CHECK(cut.reason == "truncated-answer");
+                const dispatch_result truncated = fixture.run(get);
+                CHECK(truncated.outcome == request_outcome::Unknown);
+                CHECK(truncated.reason == "truncated-answer");
             }
         }
     }
 }
 
-// Guards against a refusal that is reported as if the request could have run, or the reverse.
-TEST_CASE("refusals of the upstream are not-run", "[upstream]")
+// Guards against a rejected request that is reported as if it may have run, and against a request
+// that may have run but is reported as rejected.
+TEST_CASE("a request that the upstream rejects has the outcome not-run", "[upstream]")
 {
-    guarded_standin fixture;
+    upstream_fixture fixture;
     fixture.grant(3);
     upstream_standin_faults faults;
     faults.shedding = true;
     fixture.standin->setFaults(faults);
-    const dispatch_result shed = fixture.run(requestFor("POST", "/standin/x", "r"));
+    const dispatch_result shed = fixture.run(makeRequest("POST", "/standin/x", "r"));
     CHECK(shed.outcome == request_outcome::NotRun);
     CHECK(shed.reason == "shed");
     CHECK(shed.retryAfter == 1s);
     fixture.standin->setFaults({});
 
-    dispatch_request late = requestFor("POST", "/standin/x", "r");
+    dispatch_request late = makeRequest("POST", "/standin/x", "r");
     late.leaseEnd = currentTime;
     CHECK(fixture.run(late).reason == "lease-ending");
     CHECK(fixture.standin->history().empty());
 
     fixture.standin.reset();
-    const dispatch_result refused = fixture.run(requestFor("POST", "/standin/x", "r"));
+    const dispatch_result refused = fixture.run(makeRequest("POST", "/standin/x", "r"));
     CHECK(refused.outcome == request_outcome::NotRun);
     CHECK(refused.reason == "upstream-refused-connection");
-    CHECK(fixture.upstreamClient.status(currentTime()).refusingConnections);
+    CHECK(fixture.upstreamClient.status(currentTime()).isRefusingConnections);
 }
 
-// Guards H4: an upstream that does not check grants must not go on under an expired lease, and a
-// lease that is renewed in time must not end a request.
+// Guards against a request that keeps running under an expired lease on an upstream that does not
+// check grants, and against a request that is cancelled although its lease was renewed in time
+// (rule H4 in docs/design.md).
 TEST_CASE("the end of the lease cancels a request unless the upstream checks grants", "[upstream]")
 {
     for (const bool checksGrants : {false, true}) {
         for (const bool isRenewed : {false, true}) {
             for (const bool bodyStalls : {false, true}) {
                 CAPTURE(checksGrants, isRenewed, bodyStalls);
-                guarded_standin fixture;
+                upstream_fixture fixture;
                 fixture.grant(3);
                 auto announcement = fixture.standin->announcement();
                 announcement.checksGrants = checksGrants;
                 REQUIRE(fixture.upstreamClient.announce(announcement, currentTime()).ok());
-                const bool ends = !checksGrants && !isRenewed;
-                dispatch_request request = requestFor("PUT", "/standin/x", "r");
-                request.message.set("X-Service-Ms", ends && !bodyStalls ? "60000" : "50");
-                stalling_body body(ends && bodyStalls ? steady_time::max() : currentTime() + 50ms);
+                const bool isCancelled = !checksGrants && !isRenewed;
+                dispatch_request request = makeRequest("PUT", "/standin/x", "r");
+                request.message.set("X-Service-Ms", isCancelled && !bodyStalls ? "60000" : "50");
+                stalling_body body(isCancelled && bodyStalls ? steady_time::max()
+                                                             : currentTime() + 50ms);
                 if (bodyStalls) {
                     request.body = &body;
                 }
                 int reads = 0;
                 request.leaseEnd = [&] {
-                    // The end comes after the hand-over and a few renewals.
-                    const bool isOver = !isRenewed && ++reads > 3;
-                    return isOver ? steady_time() : currentTime() + 30ms;
+                    // The lease expires after the dispatch and a few renewals.
+                    const bool hasExpired = !isRenewed && ++reads > 3;
+                    return hasExpired ? steady_time() : currentTime() + 30ms;
                 };
                 const dispatch_result result = fixture.run(request);
-                if (!ends) {
+                if (!isCancelled) {
                     CHECK(result.outcome == request_outcome::Run);
                     continue;
                 }
@@ -291,23 +297,25 @@
                         return runs.size() == 1 && runs[0].state != "running"
                             && runs[0].state != "done";
                     },
-                    generous));
+                    testTimeout));
             }
         }
     }
 }
 
-// Guards P6: a draining upstream gets nothing beyond the grace period.
-TEST_CASE("a draining upstream gets only requests of its partitions, and not for long",
-          "[upstream]")
+// Guards against dispatching requests to a draining upstream after its grace period (requirement P6
+// in docs/design.md).
+TEST_CASE(
+    "a draining upstream receives only requests for its partitions until its grace period is over",
+    "[upstream]")
 {
-    guarded_standin fixture;
+    upstream_fixture fixture;
     upstream_announcement draining = fixture.standin->announcement();
     draining.draining = true;
     fixture.grant(3);
     const steady_time start = currentTime();
     REQUIRE(fixture.upstreamClient.announce(draining, start).ok());
-    dispatch_request request = requestFor("POST", "/standin/x", "r");
+    dispatch_request request = makeRequest("POST", "/standin/x", "r");
     recording_sink sink;
     CHECK(fixture.upstreamClient.dispatch(request, sink, start + 2499ms).outcome
           == request_outcome::Run);
@@ -316,14 +324,15 @@
     CHECK(fixture.upstreamClient.dispatch(request, sink, start).reason == "draining");
 }
 
-TEST_CASE("a frozen upstream makes a request unknown at its deadline", "[upstream]")
+TEST_CASE("a request to an unresponsive upstream has an unknown outcome at its deadline",
+          "[upstream]")
 {
-    guarded_standin fixture;
+    upstream_fixture fixture;
     fixture.grant(3);
     upstream_standin_faults faults;
     faults.frozen = true;
     fixture.standin->setFaults(faults);
-    dispatch_request request = requestFor("POST", "/standin/x", "r");
+    dispatch_request request = makeRequest("POST", "/standin/x", "r");
     request.deadline = currentTime() + 100ms;
     const dispatch_result result = fixture.run(request);
     CHECK(result.outcome == request_outcome::Unknown);
@@ -333,20 +342,21 @@
     fixture.standin->setFaults({});
 }
 
-// Guards against work that goes on for a caller that is gone.
+// Guards against running a request to completion after its caller has disconnected.
 TEST_CASE("a disconnected caller cancels the request", "[upstream]")
 {
-    guarded_standin fixture;
+    upstream_fixture fixture;
     fixture.grant(3);
     std::atomic<bool> started = false;
     scripted_server callerSide([&](Poco::Net::StreamSocket &, int) {
-        // The script's return closes the caller's connection once the request runs.
+        // Waits until the request runs; the return of the script then closes the caller's
+        // connection.
         started =
-            fixture.standin->waitFor([](const auto &runs) { return !runs.empty(); }, generous);
+            fixture.standin->waitFor([](const auto &runs) { return !runs.empty(); }, testTimeout);
     });
     Poco::Net::StreamSocket socket{Poco::Net::SocketAddress(callerSide.address())};
     http_stream caller(socket);
-    dispatch_request request = requestFor("POST", "/standin/x", "r");
+    dispatch_request request = makeRequest("POST", "/standin/x", "r");
     request.message.set("X-Service-Ms", "60000");
     request.caller = &caller;
     const dispatch_result result = fixture.run(request);
@@ -354,13 +364,13 @@
     CHECK(result.callerDisconnected);
     CHECK(result.outcome == request_outcome::Unknown);
     CHECK(fixture.standin->waitFor([](const auto &runs) { return runs[0].state == "cancelled"; },
-                                   generous));
+                                   testTimeout));
 }
 
-// Guards against hints that are taken for facts: a wrong health answer must not stop requests.
-TEST_CASE("health and load are hints", "[upstream]")
+// Guards against treating hints as facts: an incorrect health response must not stop requests.
+TEST_CASE("health and load are only hints", "[upstream]")
 {
-    guarded_standin fixture;
+    upstream_fixture fixture;
     fixture.grant(3);
     upstream_standin_faults faults;
     faults.healthy = false;
@@ -371,7 +381,7 @@
     CHECK(status.healthHint == false);
     CHECK(status.loadHint == 9.5);
     CHECK(status.state == upstream_state::Up);
-    CHECK(fixture.run(requestFor("POST", "/standin/x", "r")).outcome == request_outcome::Run);
+    CHECK(fixture.run(makeRequest("POST", "/standin/x", "r")).outcome == request_outcome::Run);
 }
 
 TEST_CASE("the stand-in announces itself to the admin port", "[upstream]")
@@ -381,23 +391,23 @@
     std::condition_variable changed;
     auto admin = http_server::listen({}, [&](server_exchange &exchange) {
         std::string body;
-        exchange.readAll(body, 4096, currentTime() + generous);
+        exchange.readAll(body, 4096, currentTime() + testTimeout);
         const auto announcement = parseAnnouncement(body);
         const std::lock_guard lock(mutex);
-        const bool taken =
+        const bool isAccepted =
             announcement.ok() && upstreamClient.announce(*announcement, currentTime()).ok();
-        exchange.respond(taken ? 200 : 400, "", "text/plain");
+        exchange.respond(isAccepted ? 200 : 400, "", "text/plain");
         changed.notify_all();
     });
     REQUIRE(admin.ok());
     upstream_standin_options options;
     options.adminAddress = (*admin)->address();
-    options.announceInterval = generous;
+    options.announceInterval = testTimeout;
     const auto standin = upstream_standin::start(options);
     const auto waitForState = [&](upstream_state state) {
         std::unique_lock lock(mutex);
         return changed.wait_for(
-            lock, generous, [&] { return upstreamClient.status(currentTime()).state == state; });
+            lock, testTimeout, [&] { return upstreamClient.status(currentTime()).state == state; });
     };
     CHECK(waitForState(upstream_state::Up));
     upstream_standin_faults faults;
--- a/src/persimmonrail/upstream/upstream_client.cpp
+++ b/src/persimmonrail/upstream/upstream_client.cpp
@@ -14,10 +14,12 @@
 namespace persimmonrail {
 namespace {
 
-// Idle connections kept to the upstream; upstreams accept 90 and more.
+// Below the number of connections that upstreams accept, which is at least 90.
 constexpr size_t maxIdleConnections = 64;
 
-milliseconds retryAfterOf(const Poco::Net::HTTPResponse &head)
+// Returns the Retry-After field, limited to one hour; zero if the field is absent or is not a
+// number of seconds.
+milliseconds parseRetryAfter(const Poco::Net::HTTPResponse &head)
 {
     int seconds = 0;
     return absl::SimpleAtoi(head.get("Retry-After", "0"), &seconds)
@@ -25,13 +27,14 @@
         : milliseconds(0);
 }
 
-bool isRefusal(const Poco::Net::HTTPResponse &head)
+// Returns whether the response states that the upstream did not run the request.
+bool isRejection(const Poco::Net::HTTPResponse &head)
 {
     return head.getStatus() == Poco::Net::HTTPResponse::HTTP_SERVICE_UNAVAILABLE
         && head.has(refusedHeader);
 }
 
-// Load as a number: the value of the field "load", or of the whole document if it is a number.
+// Returns the field "load" of a JSON object, or nullopt if the text has no such number.
 std::optional<double> parseLoad(const std::string &text)
 {
     try {
@@ -41,14 +44,15 @@
             return value.extract<Poco::JSON::Object::Ptr>()->getValue<double>("load");
         }
     } catch (const Poco::Exception &) {
-        // A load that can't be read is no load; it is a hint only.
+        // An unreadable load is treated as absent, because the load is only a hint.
     }
     return std::nullopt;
 }
 
 } // namespace
 
-// Records progress on a request and passes the answer on.
+// Registers a request as running for the lifetime of the sink, records the time of its latest
+// progress and forwards the response to the next sink.
 class upstream_client::progress_sink : public response_sink
 {
 public:
@@ -57,36 +61,36 @@
         , m_next(next)
     {
         const std::lock_guard lock(m_upstreamClient.m_mutex);
-        m_id = m_upstreamClient.m_nextRunning++;
-        m_upstreamClient.m_running[m_id] = {now, now};
+        m_id = m_upstreamClient.m_nextRunningId++;
+        m_upstreamClient.m_runningRequests[m_id] = {now, now};
     }
     progress_sink(const progress_sink &) = delete;
     progress_sink &operator=(const progress_sink &) = delete;
     ~progress_sink() override
     {
         const std::lock_guard lock(m_upstreamClient.m_mutex);
-        m_upstreamClient.m_running.erase(m_id);
+        m_upstreamClient.m_runningRequests.erase(m_id);
     }
 
     bool begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
                std::string_view first, bool isComplete) override
     {
-        progress();
+        recordProgress();
         return m_next.begin(head, framing, first, isComplete);
     }
     bool write(std::string_view piece) override
     {
-        progress();
+        recordProgress();
         return m_next.write(piece);
     }
     bool finish() override { return m_next.finish(); }
 
 private:
-    void progress()
+    void recordProgress()
     {
         const steady_time now = std::chrono::steady_clock::now();
         const std::lock_guard lock(m_upstreamClient.m_mutex);
-        m_upstreamClient.m_running[m_id].lastProgress = now;
+        m_upstreamClient.m_runningRequests[m_id].lastProgressAt = now;
     }
 
     upstream_client &m_upstreamClient;
@@ -116,7 +120,7 @@
 
 upstream_state upstream_client::stateAt(steady_time now) const
 {
-    if (!m_announcement || now >= m_validUntil) {
+    if (!m_announcement || now >= m_announcementExpiry) {
         return upstream_state::Down;
     }
     return m_announcement->draining ? upstream_state::Draining : upstream_state::Up;
@@ -127,50 +131,51 @@
     bool restarted = false;
     {
         const std::lock_guard lock(m_mutex);
-        if (m_announcement && now < m_validUntil
+        if (m_announcement && now < m_announcementExpiry
             && (m_announcement->service != announcement.service
                 || m_announcement->instance != announcement.instance)) {
-            return absl::FailedPreconditionError("this daemon serves " + m_announcement->instance
-                                                 + " of service " + m_announcement->service);
+            return absl::FailedPreconditionError("this daemon already serves instance "
+                                                 + m_announcement->instance + " of service "
+                                                 + m_announcement->service);
         }
         restarted = m_announcement && m_announcement->bootId != announcement.bootId;
         if (announcement.draining && (!m_announcement || !m_announcement->draining || restarted)) {
             m_drainingSince = now;
         }
         m_announcement = announcement;
-        m_validUntil = now + m_options.announcementValidity;
+        m_announcementExpiry = now + m_options.announcementValidity;
         if (restarted) {
             m_healthHint.reset();
             m_loadHint.reset();
         }
     }
-    if (restarted && m_callbacks.restarted) {
-        m_callbacks.restarted(announcement);
+    if (restarted && m_callbacks.onRestarted) {
+        m_callbacks.onRestarted(announcement);
     }
-    publish(now);
+    reportStateChange(now);
     return absl::OkStatus();
 }
 
 void upstream_client::expire(steady_time now)
 {
-    publish(now);
+    reportStateChange(now);
 }
 
-void upstream_client::publish(steady_time now)
+void upstream_client::reportStateChange(steady_time now)
 {
     upstream_announcement announcement;
     upstream_state state = upstream_state::Down;
     {
         const std::lock_guard lock(m_mutex);
         state = stateAt(now);
-        if (state == m_published) {
+        if (state == m_reportedState) {
             return;
         }
-        m_published = state;
+        m_reportedState = state;
         announcement = *m_announcement;
     }
-    if (m_callbacks.stateChanged) {
-        m_callbacks.stateChanged(state, announcement);
+    if (m_callbacks.onStateChanged) {
+        m_callbacks.onStateChanged(state, announcement);
     }
 }
 
@@ -180,22 +185,22 @@
     upstream_status result;
     result.state = stateAt(now);
     result.announcement = m_announcement;
-    result.inFlight = static_cast<int>(m_running.size());
+    result.inFlight = static_cast<int>(m_runningRequests.size());
     if (result.state == upstream_state::Draining) {
         result.drainingFor = std::chrono::duration_cast<milliseconds>(now - m_drainingSince);
     }
-    result.refusingConnections = m_refusingConnections;
+    result.isRefusingConnections = m_isRefusingConnections;
     result.healthHint = m_healthHint;
     result.loadHint = m_loadHint;
-    if (!m_running.empty()) {
-        steady_time last = m_lastProgress;
-        steady_time oldest = steady_time::max();
-        for (const auto &[id, running] : m_running) {
-            last = std::max(last, running.lastProgress);
-            oldest = std::min(oldest, running.startedAt);
+    if (!m_runningRequests.empty()) {
+        steady_time latestProgress = m_lastResponseAt;
+        steady_time oldestStart = steady_time::max();
+        for (const auto &[id, running] : m_runningRequests) {
+            latestProgress = std::max(latestProgress, running.lastProgressAt);
+            oldestStart = std::min(oldestStart, running.startedAt);
         }
-        const steady_time since = std::max(last, oldest);
-        result.withoutProgress =
+        const steady_time since = std::max(latestProgress, oldestStart);
+        result.timeSinceProgress =
             std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(now - since));
     }
     return result;
@@ -219,11 +224,12 @@
     return announcement ? std::optional(announcement->address) : std::nullopt;
 }
 
-bool upstream_client::refusesWhileDraining(const dispatch_request &request, steady_time now) const
+bool upstream_client::isRejectedWhileDraining(const dispatch_request &request,
+                                              steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
     return stateAt(now) == upstream_state::Draining
-        && (request.partition.empty() || now - m_drainingSince >= m_options.drainGrace);
+        && (request.partition.empty() || now - m_drainingSince >= m_options.drainGracePeriod);
 }
 
 absl::Status upstream_client::pushGrants(const std::vector<upstream_grant> &grants,
@@ -231,7 +237,7 @@
 {
     const auto address = validAddress(now);
     if (!address) {
-        return absl::UnavailableError("the upstream has not announced itself");
+        return absl::UnavailableError("no announcement of the upstream is valid");
     }
     const auto response =
         simpleRequest(m_client, *address, "PUT", "/v1/grants",
@@ -241,7 +247,8 @@
     }
     return response->status / 100 == 2
         ? absl::OkStatus()
-        : absl::FailedPreconditionError(absl::StrCat("status ", response->status));
+        : absl::FailedPreconditionError(
+            absl::StrCat("the upstream responded with status ", response->status));
 }
 
 void upstream_client::probe(steady_time now)
@@ -250,9 +257,9 @@
     if (!address) {
         return;
     }
-    const steady_time until = now + m_options.controlTimeout;
-    const auto health = simpleRequest(m_client, *address, "GET", "/v1/health", "", until);
-    const auto load = simpleRequest(m_client, *address, "GET", "/v1/load", "", until);
+    const steady_time deadline = now + m_options.controlTimeout;
+    const auto health = simpleRequest(m_client, *address, "GET", "/v1/health", "", deadline);
+    const auto load = simpleRequest(m_client, *address, "GET", "/v1/load", "", deadline);
     const std::lock_guard lock(m_mutex);
     m_healthHint = health.ok() && health->status == 200;
     m_loadHint = load.ok() && load->status == 200 ? parseLoad(load->body) : std::nullopt;
@@ -261,7 +268,7 @@
 void upstream_client::cancel(const std::string &requestId, steady_time now)
 {
     if (const auto address = validAddress(now)) {
-        // The answer makes no difference: the connection of the request is closed already.
+        // The result does not matter, because the connection of the request is already closed.
         const auto ignored =
             simpleRequest(m_client, *address, "DELETE", "/v1/requests/" + requestId, "",
                           now + m_options.controlTimeout);
@@ -270,8 +277,8 @@
 
 bool upstream_client::respondsOnNewConnection(const std::string &address) const
 {
-    http_client fresh(std::make_shared<connection_pool>());
-    return simpleRequest(fresh, address, "GET", "/v1/health", "",
+    http_client client(std::make_shared<connection_pool>());
+    return simpleRequest(client, address, "GET", "/v1/health", "",
                          std::chrono::steady_clock::now() + m_options.controlTimeout)
         .ok();
 }
@@ -285,7 +292,7 @@
         result.reason = "upstream-down";
         return result;
     }
-    if (refusesWhileDraining(request, now)) {
+    if (isRejectedWhileDraining(request, now)) {
         result.reason = "draining";
         return result;
     }
@@ -293,8 +300,10 @@
     exchange.address = announcement->address;
     exchange.message = request.message;
     exchange.message.set(requestIdHeader, request.requestId);
-    const auto left = std::chrono::duration_cast<milliseconds>(request.deadline - now);
-    exchange.message.set(deadlineHeader, absl::StrCat(std::max<int64_t>(left.count(), 0)));
+    const auto remaining = std::chrono::duration_cast<milliseconds>(request.deadline - now);
+    exchange.message.set(deadlineHeader, absl::StrCat(std::max<int64_t>(remaining.count(), 0)));
+    // Removes the values that the caller or another daemon sent, so that the upstream receives only
+    // those set below.
     for (const char *name : {termHeader, partitionHeader, keyHashHeader, rankHeader}) {
         exchange.message.erase(name);
     }
@@ -319,19 +328,21 @@
     exchange.caller = request.caller;
     if (request.repeatable) {
         exchange.progressTimeout = std::chrono::duration_cast<milliseconds>(
-            std::chrono::duration<double>(left) * m_options.silentShare);
+            std::chrono::duration<double>(remaining) * m_options.progressTimeoutFraction);
     }
     exchange.probe = [this, &announcement] {
         return respondsOnNewConnection(announcement->address);
     };
-    exchange.acceptsResponse = [](const Poco::Net::HTTPResponse &head) { return !isRefusal(head); };
+    exchange.acceptsResponse = [](const Poco::Net::HTTPResponse &head) {
+        return !isRejection(head);
+    };
 
     progress_sink progress(*this, sink, now);
-    return evaluate(m_client.exchange(exchange, progress), request);
+    return finishDispatch(m_client.exchange(exchange, progress), request);
 }
 
-dispatch_result upstream_client::evaluate(const exchange_result &exchange,
-                                          const dispatch_request &request)
+dispatch_result upstream_client::finishDispatch(const exchange_result &exchange,
+                                                const dispatch_request &request)
 {
     dispatch_result result;
     result.responseStarted = exchange.responseStarted;
@@ -348,7 +359,7 @@
         result.outcome = request_outcome::NotRun;
         result.status = exchange.head.getStatus();
         result.reason = exchange.head.get(refusedHeader, "shed");
-        result.retryAfter = retryAfterOf(exchange.head);
+        result.retryAfter = parseRetryAfter(exchange.head);
         break;
     case exchange_state::NotSent:
         result.outcome = request_outcome::NotRun;
@@ -368,16 +379,16 @@
     {
         const std::lock_guard lock(m_mutex);
         if (result.reason == "upstream-refused-connection") {
-            m_refusingConnections = true;
+            m_isRefusingConnections = true;
         } else if (exchange.anySent) {
-            m_refusingConnections = false;
+            m_isRefusingConnections = false;
         }
         if (exchange.state == exchange_state::Complete
             || exchange.state == exchange_state::Declined) {
-            m_lastProgress = std::chrono::steady_clock::now();
+            m_lastResponseAt = std::chrono::steady_clock::now();
         }
     }
-    // The upstream may still be running a request without a whole answer; its work is of no use.
+    // The upstream may still be running the request, but its response can no longer be used.
     if (result.outcome == request_outcome::Unknown) {
         cancel(request.requestId, std::chrono::steady_clock::now());
     }
--- a/src/persimmonrail/upstream/upstream_client.h
+++ b/src/persimmonrail/upstream/upstream_client.h
@@ -15,91 +15,109 @@
 
 namespace persimmonrail {
 
+// State of the local upstream according to its latest announcement. An upstream is Down until its
+// first announcement and whenever its latest announcement has expired.
 enum class upstream_state { Down, Up, Draining };
 
+// Returns "down", "up" or "draining".
 std::string_view toString(upstream_state state);
 
-// Snapshot of what is known of the local upstream.
+// Snapshot of the state of the local upstream.
 struct upstream_status
 {
     upstream_state state = upstream_state::Down;
-    // The newest announcement, valid or not; absent before the first one.
+    // The latest announcement, even if it has expired; absent before the first one.
     std::optional<upstream_announcement> announcement;
-    // Time since the upstream announced that it drains; zero if it does not.
+    // Time since the upstream first announced that it is draining; zero unless `state` is Draining.
     milliseconds drainingFor{0};
+    // Number of requests that have been dispatched and have not ended.
     int inFlight = 0;
-    // Time since the last byte of an answer, or since the oldest request was handed over if that is
-    // later; zero while nothing is in flight.
-    milliseconds withoutProgress{0};
-    // Whether the last hand-over failed because the upstream refused the connection.
-    bool refusingConnections = false;
-    // Results of the last probes; hints only, since upstreams may report them late or wrongly.
+    // Time since the latest of two events: part of a response arrived, or a request that is still
+    // in flight was dispatched. Zero while no request is in flight.
+    milliseconds timeSinceProgress{0};
+    // Whether the latest dispatch that tried to connect failed because the upstream did not accept
+    // the connection.
+    bool isRefusingConnections = false;
+    // Results of the latest probe() of this incarnation; absent before the first one and, for the
+    // load, if the upstream reported none. The values are hints, since an upstream may report
+    // outdated or wrong values.
     std::optional<bool> healthHint;
     std::optional<double> loadHint;
 };
 
-// One request to be handed to the upstream.
+// A request to be dispatched to the local upstream.
 struct dispatch_request
 {
     Poco::Net::HTTPRequest message{Poco::Net::HTTPMessage::HTTP_1_1};
+    // Null if the request has no body.
     body_source *body = nullptr;
     std::string requestId;
-    // Empty for services that are not partitioned.
+    // Name of the partition that the key belongs to; empty if the service is not partitioned.
     std::string partition;
+    // Fencing token of the lease on the partition; ignored if `partition` is empty.
     uint64_t term = 0;
+    // Hash of the request's key; absent if the request has no key.
     std::optional<uint64_t> keyHash;
+    // Whether the request may be sent to the upstream more than once.
     bool repeatable = false;
     steady_time deadline;
-    // Returns the present end of the lease; empty without a lease. Nothing is handed over within
-    // the hand-over guard (20 ms) before it. An upstream that does not check grants loses its
-    // connection, and is asked to cancel the request, when it comes (rule H4).
+    // Returns the current end of the lease on the partition; empty if no lease is needed. No
+    // request is dispatched within upstream_client_options::dispatchMargin (20 ms) before this
+    // time. When this time comes, the connection to an upstream that does not check grants is
+    // closed and the upstream is asked to cancel the request (rule H4 in docs/design.md).
     std::function<steady_time()> leaseEnd;
-    // Connection of the requester, watched so that a disconnect cancels the request.
+    // Connection of the caller, or null. Its disconnection cancels the request.
     http_stream *caller = nullptr;
 };
 
 struct dispatch_result
 {
     request_outcome outcome = request_outcome::NotRun;
-    // Fixed word, such as "refused-connection", "truncated-answer" or "shed".
+    // One of a fixed set of words, such as "upstream-refused-connection", "truncated-answer" or
+    // "shed".
     std::string reason;
-    // Whether the sink received the head of the answer, so that no other answer can be sent.
+    // Whether the sink received the head of the response, so that no other response can be sent to
+    // the caller.
     bool responseStarted = false;
-    // Whether the requester disconnected.
+    // Whether the caller disconnected.
     bool callerDisconnected = false;
-    // Status of the upstream's answer, 0 if there is none.
+    // HTTP status of the upstream's response; 0 if there is none.
     int status = 0;
-    // From the upstream's refusal, zero if it gave none.
+    // Retry-After of the upstream's rejection; zero if the field is absent.
     milliseconds retryAfter{0};
 };
 
 struct upstream_client_options
 {
-    // An announcement counts for this time.
+    // Time for which an announcement is valid. The upstream sends one every second.
     milliseconds announcementValidity{3000};
-    // No request is handed over within this time before the end of its lease.
+    // No request is dispatched within this time before the end of its lease.
     milliseconds dispatchMargin{20};
-    // A draining upstream still gets requests for the partitions it holds during this time, so that
-    // they are served until they have moved. Requests of other services are refused at once.
-    milliseconds drainGrace{2500};
+    // For this time after the start of draining, the upstream still receives requests for the
+    // partitions that it owns, so that these requests are served until the partitions have moved.
+    // Requests for services that are not partitioned are rejected at once.
+    milliseconds drainGracePeriod{2500};
+    // Timeout of grants, probes and cancellations.
     milliseconds controlTimeout{500};
-    // After this share of the time left, a repeatable request without any progress is given up if
-    // the upstream answers on a new connection: open connections can go silent for good. Others
-    // wait until their deadline, since giving them up early gains nothing.
-    double silentShare = 0.75;
+    // Fraction of the time left until the deadline after which a repeatable request without
+    // progress is abandoned if the upstream responds on a new connection, since an open connection
+    // can become permanently unresponsive. Other requests wait until their deadline: abandoning
+    // them early gains nothing, since they cannot be sent again.
+    double progressTimeoutFraction = 0.75;
 };
 
+// Callbacks run on the thread that detected the change, with no locks held. Each may be empty.
 struct upstream_callbacks
 {
-    // Run on the thread that noticed the change, without locks held.
     std::function<void(upstream_state state, const upstream_announcement &announcement)>
-        stateChanged;
-    // The upstream started anew: requests of the earlier run are lost, and it holds no grants.
-    std::function<void(const upstream_announcement &announcement)> restarted;
+        onStateChanged;
+    // Called when the upstream has restarted. The requests of its earlier incarnation are lost, and
+    // the new incarnation holds no grants.
+    std::function<void(const upstream_announcement &announcement)> onRestarted;
 };
 
-// Guards the upstream beside this daemon: what it announces, what it was granted and every request
-// handed to it. Thread safe.
+// Client of the local upstream. Tracks the upstream's announcements, sends grants to it and
+// dispatches all requests to it. Thread safe.
 class upstream_client
 {
 public:
@@ -108,56 +126,73 @@
     upstream_client(const upstream_client &) = delete;
     upstream_client &operator=(const upstream_client &) = delete;
 
-    // Takes an announcement. Errors: FailedPrecondition if it names another service or instance
-    // than the valid one in force.
+    // Records an announcement, which starts or renews its validity. Errors: FailedPrecondition if
+    // an announcement of another service or instance is still valid.
     absl::Status announce(const upstream_announcement &announcement, steady_time now);
-    // Ends the validity of an announcement that was not renewed; call at least every 250 ms.
+    // Reports the state Down if the latest announcement has expired. Must be called at least every
+    // 250 ms.
     void expire(steady_time now);
     upstream_status status(steady_time now) const;
+    // Returns whether the state is Up. A draining upstream is not up.
     bool isUp(steady_time now) const;
 
-    // Blocks. Errors: Unavailable if there is no valid announcement or the upstream is not reached;
-    // Unknown if it may have taken the grants; FailedPrecondition if it answered with an error.
+    // Sends grants to the upstream. Blocks for at most the control timeout. Errors: Unavailable if
+    // no announcement is valid or the upstream cannot be reached; Unknown if the upstream may have
+    // received the grants; FailedPrecondition if the upstream responded with an error.
     absl::Status pushGrants(const std::vector<upstream_grant> &grants, milliseconds validFor,
                             steady_time now);
-    // Reads /v1/health and /v1/load; the results only show up as hints in status(). Blocks.
+    // Reads /v1/health and /v1/load and stores the results as the hints of status(). Blocks for at
+    // most the control timeout.
     void probe(steady_time now);
 
-    // Hands one request over and streams the answer to the sink. Blocks until the answer is whole,
-    // the request has failed or its deadline has passed.
+    // Sends a request to the upstream and streams the response to the sink. Blocks until the
+    // response is complete, the request has failed or its deadline has passed. If the outcome is
+    // unknown, also cancels the request as cancel() does.
     dispatch_result dispatch(const dispatch_request &request, response_sink &sink, steady_time now);
-    // Asks the upstream to stop a request. Best effort; blocks for at most the control timeout.
+    // Asks the upstream to stop running a request and ignores failures. Blocks for at most the
+    // control timeout.
     void cancel(const std::string &requestId, steady_time now);
 
 private:
     struct running_request
     {
         steady_time startedAt;
-        steady_time lastProgress;
+        steady_time lastProgressAt;
     };
 
     class progress_sink;
 
+    // Requires m_mutex to be held.
     upstream_state stateAt(steady_time now) const;
-    void publish(steady_time now);
+    // Calls onStateChanged if the state differs from the one last reported.
+    void reportStateChange(steady_time now);
+    // Returns the latest announcement unless the upstream is down.
     std::optional<upstream_announcement> validAnnouncement(steady_time now) const;
     std::optional<std::string> validAddress(steady_time now) const;
-    bool refusesWhileDraining(const dispatch_request &request, steady_time now) const;
-    dispatch_result evaluate(const exchange_result &exchange, const dispatch_request &request);
+    // Returns whether the request must be rejected because the upstream is draining.
+    bool isRejectedWhileDraining(const dispatch_request &request, steady_time now) const;
+    // Converts the result of the exchange, records what it shows of the upstream and cancels the
+    // request if its outcome is unknown.
+    dispatch_result finishDispatch(const exchange_result &exchange,
+                                   const dispatch_request &request);
+    // Returns whether the upstream responds to a health request on a new connection.
     bool respondsOnNewConnection(const std::string &address) const;
 
     const upstream_client_options m_options;
     const upstream_callbacks m_callbacks;
     http_client m_client;
+    // Guards all members below.
     mutable std::mutex m_mutex;
     std::optional<upstream_announcement> m_announcement;
-    steady_time m_validUntil;
+    steady_time m_announcementExpiry;
     steady_time m_drainingSince;
-    upstream_state m_published = upstream_state::Down;
-    bool m_refusingConnections = false;
-    steady_time m_lastProgress;
-    uint64_t m_nextRunning = 0;
-    std::map<uint64_t, running_request> m_running;
+    upstream_state m_reportedState = upstream_state::Down;
+    bool m_isRefusingConnections = false;
+    // Time of the latest complete response, including rejections.
+    steady_time m_lastResponseAt;
+    uint64_t m_nextRunningId = 0;
+    // Requests in flight, by an id that is unique within this client.
+    std::map<uint64_t, running_request> m_runningRequests;
     std::optional<bool> m_healthHint;
     std::optional<double> m_loadHint;
 };
