--- a/src/persimmonrail/feed/change_feed.cpp
+++ b/src/persimmonrail/feed/change_feed.cpp
@@ -7,9 +7,9 @@
 namespace persimmonrail {
 namespace {
 
-// A daemon that follows the store is answered about every 5 s even if nothing changes; a second
-// answer that is overdue means that it may be cut off.
-constexpr milliseconds confirmationLife{7000};
+// The store responds to a watching daemon about every 5 s, even if nothing changes. A daemon whose
+// next response is 2 s overdue may have lost its connection to the store.
+constexpr milliseconds maxConfirmationAge{7000};
 
 } // namespace
 
@@ -19,16 +19,17 @@
 
 void change_feed::put(const stored_object &object)
 {
-    entry &known = m_entries[object.key];
-    if (known.object.version < object.version) {
-        known = {object, ++m_position};
+    entry &stored = m_entries[object.key];
+    if (stored.object.version < object.version) {
+        stored = {object, ++m_position};
     }
 }
 
 void change_feed::remove(const std::string &key)
 {
     if (m_entries.erase(key) > 0) {
-        // Removals are not told one by one: followers list the store.
+        // The feed does not pass on removals. The new id invalidates all cursors, so that the
+        // followers list the store.
         ++m_id;
     }
 }
@@ -42,8 +43,8 @@
         put(object);
     }
     std::vector<std::string> missing;
-    for (const auto &[key, known] : m_entries) {
-        if (!listed.contains(key) && known.object.version <= objects.revision) {
+    for (const auto &[key, stored] : m_entries) {
+        if (!listed.contains(key) && stored.object.version <= objects.revision) {
             missing.push_back(key);
         }
     }
@@ -81,42 +82,42 @@
     m_confirmedAt = std::max(m_confirmedAt, now);
 }
 
-feed_changes change_feed::collect(uint64_t position, uint64_t revision) const
+feed_changes change_feed::collectChanges(uint64_t position, uint64_t revision) const
 {
-    feed_changes found;
-    found.changes.revision = m_revision;
-    found.cursor = {m_id, m_position};
-    for (const auto &[key, known] : m_entries) {
-        if (known.position > position && known.object.version > revision) {
-            found.changes.objects.push_back(known.object);
+    feed_changes result;
+    result.changes.revision = m_revision;
+    result.cursor = {m_id, m_position};
+    for (const auto &[key, stored] : m_entries) {
+        if (stored.position > position && stored.object.version > revision) {
+            result.changes.objects.push_back(stored.object);
         }
     }
-    return found;
+    return result;
 }
 
 absl::StatusOr<feed_changes> change_feed::changesAfter(const feed_cursor &cursor, uint64_t revision,
                                                        steady_time now, steady_time until)
 {
     std::unique_lock lock(m_mutex);
-    const auto isCurrent = [&] { return cursor.feed == 0 || cursor.feed == m_id; };
-    if (m_stopping || now - m_confirmedAt >= confirmationLife) {
-        return absl::UnavailableError("this daemon does not follow the store");
+    const auto isCursorValid = [&] { return cursor.feed == 0 || cursor.feed == m_id; };
+    if (m_isStopped || now - m_confirmedAt >= maxConfirmationAge) {
+        return absl::UnavailableError("this daemon has received no recent response from the store");
     }
-    if (cursor.feed != 0 && isCurrent()) {
+    if (cursor.feed != 0 && isCursorValid()) {
         m_changed.wait_until(lock, until, [&] {
-            return m_stopping || m_position > cursor.position || !isCurrent();
+            return m_isStopped || m_position > cursor.position || !isCursorValid();
         });
     }
-    if (!isCurrent()) {
-        return absl::OutOfRangeError("the feed began anew");
+    if (!isCursorValid()) {
+        return absl::OutOfRangeError("the cursor belongs to another feed");
     }
-    return cursor.feed == 0 ? collect(0, revision) : collect(cursor.position, 0);
+    return cursor.feed == 0 ? collectChanges(0, revision) : collectChanges(cursor.position, 0);
 }
 
 void change_feed::stop()
 {
     const std::lock_guard lock(m_mutex);
-    m_stopping = true;
+    m_isStopped = true;
     m_changed.notify_all();
 }
 
--- a/src/persimmonrail/feed/change_feed.h
+++ b/src/persimmonrail/feed/change_feed.h
@@ -13,10 +13,11 @@
 
 namespace persimmonrail {
 
-// How far a follower has read one feed. Default: it has read nothing.
+// Resume token of a follower: the position up to which the follower has read one feed. The default
+// value states that the follower has read nothing.
 struct feed_cursor
 {
-    // The feed that the position belongs to; 0 for none.
+    // Id of the feed that the position belongs to; 0 for none.
     uint64_t feed = 0;
     uint64_t position = 0;
 
@@ -25,61 +26,71 @@
 
 struct feed_changes
 {
-    // `revision`: the feed holds all changes of the store up to it.
+    // Changed objects. The feed has received all changes of the store up to `changes.revision`.
     object_list changes;
+    // Cursor from which the follower continues.
     feed_cursor cursor;
 };
 
-// What this daemon knows of the objects under one prefix of the store, for daemons that follow it
-// in place of the store. Thread safe.
+// This daemon's copy of the objects under one prefix of the store. Other daemons ("followers") read
+// changes from the copy instead of watching the store. Thread safe.
 //
-// Invariants: a follower that has read up to a cursor, and listed the store before its first read,
-// knows every object at least as new as the feed does there. Changes are given out only while the
-// store has answered this daemon lately, so that a follower of a daemon that is cut off looks
-// elsewhere.
+// Invariants: a follower that listed the store before its first read and has read up to a cursor
+// has received, for every object, a version at least as new as the feed's version at that cursor.
+// Changes are returned only if the store has recently responded to this daemon, so that the
+// followers of a daemon that has lost its connection to the store switch to another source.
 class change_feed
 {
 public:
-    // `id` tells this feed from those of other daemons and of earlier runs; not 0, below 2^53.
+    // `id` distinguishes this feed from those of other daemons and of earlier incarnations. It must
+    // not be 0 and must be below 2^53.
     explicit change_feed(uint64_t id);
 
-    // Takes the whole content of the store.
+    // Applies a complete listing of the prefix. Objects that are missing from the listing are
+    // removed unless their version is newer than the revision of the listing.
     void reset(const object_list &objects);
-    // Takes changes in order.
+    // Applies changes that the store's watch returned. Must be called in the order of the changes.
     void apply(const object_list &changes);
-    // Takes one object that was written or read by itself.
+    // Applies a single object that was written or read outside the watch. The revision of the feed
+    // stays the same, because earlier changes may still be missing.
     void applyOne(const stored_object &object);
-    // The store answered this daemon at `now`, so that the feed held what it holds.
+    // Records that the store responded to this daemon at `now`, so that the feed was up to date at
+    // that time.
     void confirm(steady_time now);
 
-    // Returns what is new after `cursor`, waiting until `until` for it. A follower without a cursor
-    // gets the objects newer than `revision` at once. Errors: Unavailable if the store has not
-    // answered lately; OutOfRange if the cursor is of another feed or objects were removed, so that
-    // the follower has to list the store.
+    // Returns the changes after `cursor`. If there are none, waits for one until `until` and
+    // returns no changes if the wait times out. A follower without a cursor receives the objects
+    // newer than `revision` at once. Errors: Unavailable if the store has not responded recently or
+    // stop() was called before; OutOfRange if the cursor belongs to another feed or objects were
+    // removed, in which case the follower must list the store.
     absl::StatusOr<feed_changes> changesAfter(const feed_cursor &cursor, uint64_t revision,
                                               steady_time now, steady_time until);
-    // Ends all waits; later ones end at once.
+    // Ends all waits. Later calls of changesAfter() return Unavailable.
     void stop();
 
 private:
     struct entry
     {
         stored_object object;
-        // When it changed, counted in changes of the feed.
+        // Position of the object's latest change.
         uint64_t position = 0;
     };
+    // The following functions require m_mutex to be held.
     void put(const stored_object &object);
     void remove(const std::string &key);
-    feed_changes collect(uint64_t position, uint64_t revision) const;
+    // Returns the objects whose position is above `position` and whose version is above `revision`.
+    feed_changes collectChanges(uint64_t position, uint64_t revision) const;
 
     std::mutex m_mutex;
     std::condition_variable m_changed;
     std::map<std::string, entry> m_entries;
     uint64_t m_id;
+    // Number of changes of objects that the feed has applied.
     uint64_t m_position = 0;
     uint64_t m_revision = 0;
+    // When the store last responded to this daemon.
     steady_time m_confirmedAt{};
-    bool m_stopping = false;
+    bool m_isStopped = false;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/feed/relayed_watch.cpp
+++ b/src/persimmonrail/feed/relayed_watch.cpp
@@ -17,11 +17,14 @@
 namespace persimmonrail {
 namespace {
 
+// Maximum number of members that share a relay.
 constexpr size_t membersPerRelay = 64;
-constexpr milliseconds maxRelayWait{10000};
-constexpr milliseconds connectTime{400};
-constexpr milliseconds idleTime{5000};
+// Limit of the wait that a follower can request.
+constexpr milliseconds maxWait{10000};
+constexpr milliseconds connectTimeout{400};
+constexpr milliseconds idleTimeout{5000};
 
+// Query of a request for changesPath.
 struct changes_query
 {
     feed_cursor cursor;
@@ -36,21 +39,23 @@
                         "&wait_ms=", query.wait.count());
 }
 
+// Parses the query of `uri`; absent parameters are 0. Errors: InvalidArgument.
 absl::StatusOr<changes_query> parseQuery(const std::string &uri)
 {
-    std::map<std::string, uint64_t> numbers;
+    std::map<std::string, uint64_t> parameters;
     try {
         for (const auto &[name, value] : Poco::URI(uri).getQueryParameters()) {
-            if (!absl::SimpleAtoi(value, &numbers[name])) {
-                return absl::InvalidArgumentError(absl::StrCat(name, " is no number"));
+            if (!absl::SimpleAtoi(value, &parameters[name])) {
+                return absl::InvalidArgumentError(
+                    absl::StrCat(name, " must be an unsigned integer"));
             }
         }
     } catch (const Poco::Exception &error) {
         return absl::InvalidArgumentError(error.displayText());
     }
-    const auto wait = std::min<uint64_t>(numbers["wait_ms"], maxRelayWait.count());
-    return changes_query{{numbers["feed"], numbers["position"]},
-                         numbers["revision"],
+    const auto wait = std::min<uint64_t>(parameters["wait_ms"], maxWait.count());
+    return changes_query{{parameters["feed"], parameters["position"]},
+                         parameters["revision"],
                          milliseconds(static_cast<int64_t>(wait))};
 }
 
@@ -68,15 +73,16 @@
                       });
 }
 
+// Watches the store through a relay or directly. Used by one thread at a time.
 class relayed_watch
 {
 public:
-    relayed_watch(object_api direct, relayed_watch_hooks hooks, relayed_watch_options options)
-        : m_direct(std::move(direct))
+    relayed_watch(object_api store, relayed_watch_hooks hooks, relayed_watch_options options)
+        : m_store(std::move(store))
         , m_hooks(std::move(hooks))
         , m_options(options)
         , m_client(std::make_shared<connection_pool>(
-              connection_pool_options{1, 4, idleTime, idleTime, connectTime, false}))
+              connection_pool_options{1, 4, idleTimeout, idleTimeout, connectTimeout, false}))
     { }
 
     absl::StatusOr<object_list> watch(const std::string &prefix, uint64_t revision,
@@ -84,44 +90,48 @@
     {
         absl::Status failure;
         for (const std::string &address : m_hooks.relays()) {
-            if (m_hooks.now() < m_pausedUntil[address]) {
+            if (m_hooks.now() < m_retryAt[address]) {
                 continue;
             }
-            auto changes = askRelay(address, revision);
+            auto changes = fetchChanges(address, revision);
             if (changes.ok()) {
-                follow(address, changes->cursor, failure);
+                updateSource(address, changes->cursor, failure);
                 return std::move(changes->changes);
             }
             if (absl::IsOutOfRange(changes.status())) {
-                follow(address, {}, failure);
+                updateSource(address, {}, failure);
                 return changes.status();
             }
             failure = changes.status();
-            m_pausedUntil[address] = m_hooks.now() + m_options.failurePause;
+            m_retryAt[address] = m_hooks.now() + m_options.relayRetryDelay;
         }
-        follow(storeSource, {}, failure);
+        updateSource(storeSource, {}, failure);
         return watchStore(prefix, revision, wait);
     }
 
 private:
     static constexpr char storeSource[] = "store";
 
-    absl::StatusOr<feed_changes> askRelay(const std::string &address, uint64_t revision)
+    // Requests the changes after the cursor if the relay is the current source, otherwise those
+    // after `revision`. Errors: OutOfRange if the store must be listed.
+    absl::StatusOr<feed_changes> fetchChanges(const std::string &address, uint64_t revision)
     {
         const feed_cursor cursor = address == m_source ? m_cursor : feed_cursor();
-        const std::string uri = encodeQuery({cursor, revision, m_options.relayWait});
+        const std::string uri = encodeQuery({cursor, revision, m_options.relayWaitTimeout});
         const auto response =
             simpleRequest(m_client, address, "GET", uri, "",
-                          m_hooks.now() + m_options.relayWait + m_options.responseSlack);
+                          m_hooks.now() + m_options.relayWaitTimeout + m_options.responseTimeout);
         if (!response.ok()) {
             return absl::UnavailableError(response.status().message());
         }
-        return response->status == 200
-            ? parseChanges(response->body)
-            : absl::UnavailableError(absl::StrCat("relay answered ", response->status));
+        return response->status == 200 ? parseChanges(response->body)
+                                       : absl::UnavailableError(absl::StrCat(
+                                           "the relay responded with status ", response->status));
     }
 
-    void follow(const std::string &source, const feed_cursor &cursor, const absl::Status &reason)
+    // Sets the source and the cursor of the next request and reports a change of the source.
+    void updateSource(const std::string &source, const feed_cursor &cursor,
+                      const absl::Status &reason)
     {
         m_cursor = cursor;
         if (source != m_source) {
@@ -133,29 +143,33 @@
     absl::StatusOr<object_list> watchStore(const std::string &prefix, uint64_t revision,
                                            milliseconds wait)
     {
-        const auto sinceChange = m_hooks.now() - m_changedAt;
-        if (sinceChange < m_options.minGap) {
-            m_hooks.pause(std::chrono::duration_cast<milliseconds>(m_options.minGap - sinceChange));
+        const auto sinceChange = m_hooks.now() - m_lastChangeAt;
+        if (sinceChange < m_options.minStoreWatchInterval) {
+            m_hooks.pause(std::chrono::duration_cast<milliseconds>(m_options.minStoreWatchInterval
+                                                                   - sinceChange));
         }
-        auto changes = m_direct.watch(prefix, revision, std::min(wait, m_options.directWait));
+        auto changes = m_store.watch(prefix, revision, std::min(wait, m_options.storeWaitTimeout));
         const steady_time now = m_hooks.now();
         if (changes.ok()) {
             m_hooks.onDirectResponse(now);
             if (!changes->objects.empty()) {
-                m_changedAt = now;
+                m_lastChangeAt = now;
             }
         }
         return changes;
     }
 
-    const object_api m_direct;
+    const object_api m_store;
     const relayed_watch_hooks m_hooks;
     const relayed_watch_options m_options;
     http_client m_client;
+    // Address of the relay that responded last, or storeSource; empty before the first watch.
     std::string m_source;
     feed_cursor m_cursor;
-    std::map<std::string, steady_time> m_pausedUntil;
-    steady_time m_changedAt{};
+    // Time from which each relay that has failed may be asked again.
+    std::map<std::string, steady_time> m_retryAt;
+    // Time of the latest response of the store that contained changes.
+    steady_time m_lastChangeAt{};
 };
 
 } // namespace
@@ -164,8 +178,8 @@
                                    std::string_view availabilityZone, const std::string &ownAddress)
 {
     std::vector<const upstream_member *> candidates;
-    for (const auto &[name, known] : directory.members()) {
-        const upstream_member &member = known.member;
+    for (const auto &[name, entry] : directory.members()) {
+        const upstream_member &member = entry.member;
         if (member.availabilityZone == availabilityZone && !member.isTerminated
             && !member.isDraining) {
             candidates.push_back(&member);
@@ -174,26 +188,26 @@
     std::sort(candidates.begin(), candidates.end(),
               [](const auto *a, const auto *b) { return hasMoreCapacity(*a, *b); });
     candidates.resize((candidates.size() + membersPerRelay - 1) / membersPerRelay);
-    std::vector<std::string> members;
-    members.reserve(candidates.size());
+    std::vector<std::string> addresses;
+    addresses.reserve(candidates.size());
     for (const upstream_member *candidate : candidates) {
-        members.push_back(candidate->peerAddress);
+        addresses.push_back(candidate->peerAddress);
     }
-    if (members.empty() || std::find(members.begin(), members.end(), ownAddress) != members.end()) {
+    if (addresses.empty()
+        || std::find(addresses.begin(), addresses.end(), ownAddress) != addresses.end()) {
         return {};
     }
-    const size_t first = std::hash<std::string>()(ownAddress) % members.size();
-    std::rotate(members.begin(), members.begin() + static_cast<std::ptrdiff_t>(first),
-                members.end());
-    return members;
+    const size_t offset = std::hash<std::string>()(ownAddress) % addresses.size();
+    std::rotate(addresses.begin(), addresses.begin() + static_cast<std::ptrdiff_t>(offset),
+                addresses.end());
+    return addresses;
 }
 
-object_api makeRelayedWatch(object_api direct, relayed_watch_hooks hooks,
+object_api makeRelayedWatch(object_api store, relayed_watch_hooks hooks,
                             relayed_watch_options options)
 {
-    object_api relayed = direct;
-    const auto watch =
-        std::make_shared<relayed_watch>(std::move(direct), std::move(hooks), options);
+    object_api relayed = store;
+    const auto watch = std::make_shared<relayed_watch>(std::move(store), std::move(hooks), options);
     relayed.watch = [watch](const std::string &prefix, uint64_t revision, milliseconds wait) {
         return watch->watch(prefix, revision, wait);
     };
@@ -206,13 +220,13 @@
     if (!query.ok()) {
         return renderJson(encodeObjectList(query.status()));
     }
-    const auto found = feed.changesAfter(query->cursor, query->revision, now, now + query->wait);
-    if (!found.ok()) {
-        return renderJson(encodeObjectList(found.status()));
+    const auto changes = feed.changesAfter(query->cursor, query->revision, now, now + query->wait);
+    if (!changes.ok()) {
+        return renderJson(encodeObjectList(changes.status()));
     }
-    Poco::JSON::Object object = encodeObjectList(found->changes);
-    object.set("feed", found->cursor.feed);
-    object.set("position", found->cursor.position);
+    Poco::JSON::Object object = encodeObjectList(changes->changes);
+    object.set("feed", changes->cursor.feed);
+    object.set("position", changes->cursor.position);
     return renderJson(object);
 }
 
--- a/src/persimmonrail/feed/relayed_watch.h
+++ b/src/persimmonrail/feed/relayed_watch.h
@@ -11,53 +11,59 @@
 
 namespace persimmonrail {
 
-// Path under which a peer port gives out the changes of the fleet's objects.
+// Path on the peer port under which a daemon serves the changes of the fleet's objects.
 inline constexpr char changesPath[] = "/v1/changes";
 
 struct relayed_watch_options
 {
-    // How long a relay may hold an answer back until there is a change. Each wait holds a thread
-    // of the relay; the end of a wait shows that the relay is still there.
-    milliseconds relayWait{2000};
-    // What an answer may take besides; connections between hosts may go silent.
-    milliseconds responseSlack{800};
-    // A relay that failed is not asked again for this long.
-    milliseconds failurePause{5000};
-    // Longest wait of a watch of the store itself, so that a relay learns soon that it is cut off.
-    milliseconds directWait{5000};
-    // Between two watches of the store that were answered with changes, which are gathered
-    // meanwhile.
-    milliseconds minGap{150};
+    // How long a relay waits for a change before it responds. Each wait occupies a thread of the
+    // relay. A response without changes shows that the relay is still reachable.
+    milliseconds relayWaitTimeout{2000};
+    // Time allowed for the response in addition to `relayWaitTimeout`, since connections between
+    // hosts can become unresponsive.
+    milliseconds responseTimeout{800};
+    // Time after a failed request during which a relay is not asked again.
+    milliseconds relayRetryDelay{5000};
+    // Maximum time for which a watch of the store itself waits for a change. The wait is short, so
+    // that a relay soon detects the loss of its connection to the store and other daemons soon
+    // return to a relay.
+    milliseconds storeWaitTimeout{5000};
+    // Minimum time between a response of the store with changes and the next watch of the store.
+    // Changes made in this time arrive together in one response.
+    milliseconds minStoreWatchInterval{150};
 };
 
 struct relayed_watch_hooks
 {
-    // Peer ports of the daemons to follow, in the order in which they are to be asked; none if this
-    // daemon follows the store itself.
+    // Returns the addresses of the relays' peer ports in the order in which the relays are asked;
+    // empty if this daemon watches the store itself.
     std::function<std::vector<std::string>()> relays;
-    // A watch of the store itself was answered.
+    // Called after the store itself has responded to a watch without an error.
     std::function<void(steady_time now)> onDirectResponse;
-    // Called when another source is followed: a peer port, or "store".
+    // Called when the source of changes differs from the previous one. `source` is the address of a
+    // relay's peer port, or "store". `reason` is the error of the last relay that failed, or OK.
     std::function<void(std::string_view source, const absl::Status &reason)> onSource;
     std::function<steady_time()> now;
-    // Blocks for a time.
+    // Blocks for `time`.
     std::function<void(milliseconds time)> pause;
 };
 
-// Daemons in the availability zone that follow the store for the others there, as peer ports: the
-// first members by name, one for every 64. `ownAddress` starts its followers at different ones.
-// Empty if the daemon at `ownAddress` is one of them, or there is none.
+// Returns the addresses of the peer ports of the relays in the availability zone, or no address if
+// there is no relay or the daemon at `ownAddress` is one. A relay watches the store on behalf of
+// the other daemons in its zone. There is one relay for every 64 members or part thereof; the
+// members that come first in the order of hasMoreCapacity() are chosen. The list starts at a relay
+// that depends on `ownAddress`, so that daemons spread over the relays.
 std::vector<std::string> relaysFor(const fleet_directory &directory,
                                    std::string_view availabilityZone,
                                    const std::string &ownAddress);
 
-// Replaces the watch of `direct` by one that asks the relays and falls back to the store. For one
-// watching thread.
-object_api makeRelayedWatch(object_api direct, relayed_watch_hooks hooks,
+// Returns a copy of `store` in which `watch` reads changes from a relay, or from `store` itself if
+// no relay responds. The returned `watch` must be called by one thread at a time.
+object_api makeRelayedWatch(object_api store, relayed_watch_hooks hooks,
                             relayed_watch_options options = {});
 
-// Answers a request for changesPath with its query. Blocks as long as the follower asks for, at
-// most 10 s.
+// Returns the body of the response to a request for changesPath; errors are encoded in the body.
+// `uri` includes the query. Blocks for as long as the query asks, at most 10 s.
 std::string serveChanges(change_feed &feed, const std::string &uri, steady_time now);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/feed/tests/relayed_watch_test.cpp
+++ b/src/persimmonrail/feed/tests/relayed_watch_test.cpp
@@ -16,8 +16,8 @@
     return {"fleet/" + name, version, false, "{}"};
 }
 
-// A relay, a follower of it, and the store that the follower can watch itself.
-struct relay_site
+// A relay, a follower of the relay, and the store that the follower can watch directly.
+struct relay_fixture
 {
     change_feed feed{7};
     std::unique_ptr<http_server> relay;
@@ -27,10 +27,10 @@
     std::vector<milliseconds> pauses;
     absl::StatusOr<object_list> storeResult = object_list{30, {}};
     int confirmations = 0;
-    milliseconds passed{0};
+    milliseconds clockOffset{0};
     object_api follower;
 
-    relay_site()
+    relay_fixture()
     {
         relay = std::move(*http_server::listen({}, [this](server_exchange &exchange) {
             exchange.respond(
@@ -52,98 +52,100 @@
         hooks.onSource = [this](std::string_view source, const absl::Status &) {
             sources.emplace_back(source);
         };
-        hooks.now = [this] { return std::chrono::steady_clock::now() + passed; };
+        hooks.now = [this] { return std::chrono::steady_clock::now() + clockOffset; };
         hooks.pause = [this](milliseconds time) { pauses.push_back(time); };
         relayed_watch_options options;
-        options.relayWait = 0ms;
+        options.relayWaitTimeout = 0ms;
         follower = makeRelayedWatch(store, hooks, options);
     }
-    ~relay_site() { feed.stop(); }
+    ~relay_fixture() { feed.stop(); }
     absl::StatusOr<object_list> watch() { return follower.watch(fleetPrefix, 10, 20s); }
 };
 
-upstream_member member(const std::string &name, const std::string &zone, int port,
-                       bool isDraining = false)
+upstream_member makeMember(const std::string &name, const std::string &zone, int port,
+                           bool isDraining = false)
 {
     return {{name, 1}, "ledger", zone, "127.0.0.1:" + std::to_string(port), 9, isDraining, false};
 }
 
-std::shared_ptr<const fleet_directory> directoryOf(const std::vector<upstream_member> &members)
+std::shared_ptr<const fleet_directory> makeDirectory(const std::vector<upstream_member> &members)
 {
     fleet_directory_builder builder([](const std::string &, std::string_view) {});
     uint64_t version = 0;
-    for (const upstream_member &known : members) {
-        builder.applyOne({memberKey(known.id.name), ++version, false, encodeMember(known)});
+    for (const upstream_member &member : members) {
+        builder.applyOne({memberKey(member.id.name), ++version, false, encodeMember(member)});
     }
     return builder.build();
 }
 
 } // namespace
 
-// Load pattern: frequent changes of key owners wake the watches of all daemons. Followers of a
-// relay make no call to the store at all.
-TEST_CASE("followers of a relay spare the store", "[feed]")
+// Load pattern: frequent changes of key owners end the waiting watches of all daemons. Followers of
+// a relay send no request to the store.
+TEST_CASE("followers of a relay send no requests to the store", "[feed]")
 {
-    relay_site site;
-    REQUIRE(site.watch()->objects.size() == 1);
+    relay_fixture fixture;
+    REQUIRE(fixture.watch()->objects.size() == 1);
     for (uint64_t version = 21; version < 41; ++version) {
-        site.feed.apply({version, {object("keys", version)}});
-        const auto changes = site.watch();
+        fixture.feed.apply({version, {object("keys", version)}});
+        const auto changes = fixture.watch();
         REQUIRE(changes.ok());
         CHECK(changes->revision == version);
         CHECK(changes->objects.size() == 1);
     }
-    CHECK(site.storeWaits.empty());
-    CHECK(site.sources == std::vector<std::string>{site.relay->address()});
+    CHECK(fixture.storeWaits.empty());
+    CHECK(fixture.sources == std::vector<std::string>{fixture.relay->address()});
 }
 
-TEST_CASE("a follower whose relay fails watches the store and returns later", "[feed]")
+TEST_CASE("a follower whose relay fails watches the store and returns to a relay later", "[feed]")
 {
-    relay_site site;
-    site.feed.stop();
-    SECTION("the relay does not follow the store") { }
-    SECTION("the relay can't be reached")
+    relay_fixture fixture;
+    fixture.feed.stop();
+    SECTION("the relay does not receive changes from the store") { }
+    SECTION("the relay is unreachable")
     {
-        site.relays = {"127.0.0.1:1"};
+        fixture.relays = {"127.0.0.1:1"};
     }
-    CHECK(site.watch()->revision == 30);
-    CHECK(site.confirmations == 1);
-    CHECK(site.sources == std::vector<std::string>{"store"});
-    // The wait is short, so that the daemon notices when it is cut off, and finds its relay again.
-    CHECK(site.storeWaits == std::vector<milliseconds>{5000ms});
-    CHECK(site.watch().ok());
-    CHECK(site.storeWaits.size() == 2);
-    relay_site other;
-    site.relays = {other.relay->address()};
-    CHECK(site.watch()->revision == 20);
+    CHECK(fixture.watch()->revision == 30);
+    CHECK(fixture.confirmations == 1);
+    CHECK(fixture.sources == std::vector<std::string>{"store"});
+    // The wait is short, so that the daemon soon detects a lost connection and returns to its
+    // relay.
+    CHECK(fixture.storeWaits == std::vector<milliseconds>{5000ms});
+    CHECK(fixture.watch().ok());
+    CHECK(fixture.storeWaits.size() == 2);
+    relay_fixture other;
+    fixture.relays = {other.relay->address()};
+    CHECK(fixture.watch()->revision == 20);
 }
 
-// Load pattern: many changes within a moment reach a daemon that watches the store in few answers.
-TEST_CASE("changes that follow each other are gathered", "[feed]")
+// Load pattern: many changes in a short time reach a daemon that watches the store in few
+// responses.
+TEST_CASE("changes in quick succession arrive in one response", "[feed]")
 {
-    relay_site site;
-    site.relays.clear();
-    site.storeResult = object_list{31, {object("keys", 31)}};
-    CHECK(site.watch().ok());
-    CHECK(site.pauses.empty());
-    CHECK(site.watch().ok());
-    REQUIRE(site.pauses.size() == 1);
-    CHECK(site.pauses[0] > 100ms);
-    site.passed = 10s;
-    CHECK(site.watch().ok());
-    CHECK(site.pauses.size() == 1);
+    relay_fixture fixture;
+    fixture.relays.clear();
+    fixture.storeResult = object_list{31, {object("keys", 31)}};
+    CHECK(fixture.watch().ok());
+    CHECK(fixture.pauses.empty());
+    CHECK(fixture.watch().ok());
+    REQUIRE(fixture.pauses.size() == 1);
+    CHECK(fixture.pauses[0] > 100ms);
+    fixture.clockOffset = 10s;
+    CHECK(fixture.watch().ok());
+    CHECK(fixture.pauses.size() == 1);
 }
 
-TEST_CASE("faults of the store reach the watcher", "[feed]")
+TEST_CASE("errors of the store are returned to the watcher", "[feed]")
 {
-    relay_site site;
-    site.relays.clear();
-    site.storeResult = absl::OutOfRangeError("gone");
-    CHECK(absl::IsOutOfRange(site.watch().status()));
-    CHECK(site.confirmations == 0);
+    relay_fixture fixture;
+    fixture.relays.clear();
+    fixture.storeResult = absl::OutOfRangeError("gone");
+    CHECK(absl::IsOutOfRange(fixture.watch().status()));
+    CHECK(fixture.confirmations == 0);
 }
 
-TEST_CASE("malformed requests for changes are answered with an error", "[feed]")
+TEST_CASE("malformed requests for changes receive an error response", "[feed]")
 {
     change_feed feed(7);
     const std::string query = GENERATE("?feed=x", "?feed=1&position=-1", "?revision=1e9",
@@ -153,44 +155,47 @@
     CHECK(response.find("\"code\":3") != std::string::npos);
 }
 
-// Load pattern: a change of a large placement goes to 25 followers at once, several times a second.
-// A host with 0.1 of a processor and 15 Mbit/s has neither for that; every zone has stronger ones.
-TEST_CASE("the strongest hosts of an availability zone are its relays", "[feed]")
+// Load pattern: a relay sends each change of a large placement to 25 followers at once, several
+// times a second. A host with 0.1 of a processor and a link of 15 Mbit/s has too little of both for
+// this load; every zone has hosts with more capacity.
+TEST_CASE("the hosts with the most capacity in an availability zone are its relays", "[feed]")
 {
-    upstream_member weak = member("a", "nord", 1);
+    upstream_member weak = makeMember("a", "nord", 1);
     weak.host = {0.1, 15};
-    upstream_member strong = member("b", "nord", 2);
+    upstream_member strong = makeMember("b", "nord", 2);
     strong.host = {0.5, 200};
-    upstream_member narrow = member("c", "nord", 3);
-    narrow.host = {0.5, 15};
-    const upstream_member unknown = member("d", "nord", 4);
-    const auto directory = directoryOf({weak, strong, narrow, unknown});
+    upstream_member slowLink = makeMember("c", "nord", 3);
+    slowLink.host = {0.5, 15};
+    const upstream_member unknown = makeMember("d", "nord", 4);
+    const auto directory = makeDirectory({weak, strong, slowLink, unknown});
     CHECK(relaysFor(*directory, "nord", "127.0.0.1:1") == std::vector<std::string>{"127.0.0.1:2"});
     CHECK(relaysFor(*directory, "nord", "127.0.0.1:2").empty());
     strong.isDraining = true;
-    const auto later = directoryOf({weak, strong, narrow, unknown});
-    CHECK(relaysFor(*later, "nord", "127.0.0.1:1") == std::vector<std::string>{"127.0.0.1:3"});
+    const auto updatedDirectory = makeDirectory({weak, strong, slowLink, unknown});
+    CHECK(relaysFor(*updatedDirectory, "nord", "127.0.0.1:1")
+          == std::vector<std::string>{"127.0.0.1:3"});
 }
 
-TEST_CASE("the first members of an availability zone are its relays", "[feed]")
+TEST_CASE("hosts with equal capacity become relays in the order of their names", "[feed]")
 {
-    const auto directory = directoryOf({member("a", "nord", 1, true), member("b", "nord", 2),
-                                        member("c", "nord", 3), member("d", "sued", 4)});
+    const auto directory =
+        makeDirectory({makeMember("a", "nord", 1, true), makeMember("b", "nord", 2),
+                       makeMember("c", "nord", 3), makeMember("d", "sued", 4)});
     CHECK(relaysFor(*directory, "nord", "127.0.0.1:3") == std::vector<std::string>{"127.0.0.1:2"});
     CHECK(relaysFor(*directory, "nord", "127.0.0.1:2").empty());
     CHECK(relaysFor(*directory, "sued", "127.0.0.1:4").empty());
     CHECK(relaysFor(*directory, "mitte", "127.0.0.1:9").empty());
-    std::vector<upstream_member> many;
-    many.reserve(130);
+    std::vector<upstream_member> members;
+    members.reserve(130);
     for (int i = 0; i < 130; ++i) {
-        many.push_back(member("m" + std::to_string(1000 + i), "nord", 1000 + i));
+        members.push_back(makeMember("m" + std::to_string(1000 + i), "nord", 1000 + i));
     }
-    const auto large = directoryOf(many);
-    std::set<std::string> first;
+    const auto large = makeDirectory(members);
+    std::set<std::string> firstRelays;
     for (int i = 3; i < 130; ++i) {
         const auto relays = relaysFor(*large, "nord", "127.0.0.1:" + std::to_string(1000 + i));
         REQUIRE(relays.size() == 3);
-        first.insert(relays[0]);
+        firstRelays.insert(relays[0]);
     }
-    CHECK(first.size() == 3);
+    CHECK(firstRelays.size() == 3);
 }
