--- a/model/ownership.pml
+++ b/model/ownership.pml
@@ -1,75 +1,109 @@
 /* Ownership protocol of one partition (docs/design.md, section 4). See docs/model.md.
  *
- * Configurations, one of: FAILOVER, CHANGE (R1 and R2), RECOVERY (R3, with R2 under way).
+ * The numbered rules in the comments (W1 to W5, H1 to H4, C1 to C3, R1 to R4) are those of the design.
+ * Each run defines exactly one of three configurations: FAILOVER, RECORD_CHANGES (rules R1 and R2) or
+ * RECOVERY (rule R3, also while a witness change of rule R2 is in progress).
  *
- * Abstracted away:
- * - Every daemon is a process with one control state; a step may be postponed for ever, which covers
- *   pauses of any length, silent crashes, message loss and platform outages.
- * - Time is discrete. `lease` and `age` count true ticks under the slowest clock permitted: a lease
- *   that lasts LEASE on the holder's clock lasts LEASE + MARGIN ticks. Under a faster clock the
- *   holder stops earlier, which only removes behaviours.
- * - The last round of each instance stays in the network until the next one replaces it, so each
- *   witness may receive it late, more than once or never. A round older than SPAN can no longer form a
- *   lease; such a round, or one older than the newest, is received only if the network kept it back,
- *   which it does with one round at a time. The newest release stays in the network for good.
- * - Receiving one acknowledgement changes nothing until the majority is complete, so a round has
- *   only the set of acknowledgements sent.
- * - A write is answered at once, or its answer is lost and it takes effect at any later time.
- * - A restart stands for a loss as well: records name the old incarnation. At most one restart
- *   per process. FAULTS bounds restarts, kept-back rounds, lost answers and releases after an
- *   upstream failure in all; pauses, message loss and outages are not bounded. Terms and record
- *   versions are bounded by TMAX and VMAX.
- * - Standbys are the first incarnations of all instances but the owner; they may claim at any time
- *   (expiry notices and standby delays only matter for speed).
- * - R3's step of 2^20 is TERM_STEP. Hot keys (R4) and the upstream's own check (H4) are left out.
+ * Abstractions:
+ * - Each daemon is a process with a single control state. Any step may be delayed indefinitely, which
+ *   covers pauses of any length, crashes that are not detected, message loss and platform outages.
+ * - Time is discrete. `lease_left` and `round_age` count ticks of true time, and the holder's clock
+ *   runs at the slowest permitted rate: a lease of LEASE ticks on the holder's clock lasts MAX_LEASE =
+ *   LEASE + DRIFT_MARGIN true ticks. With a faster clock the holder stops earlier, which only removes
+ *   behaviours.
+ * - A round is one claim or heartbeat that an instance sends to all witnesses. The last round of each
+ *   instance stays in the network until the next round replaces it, so each witness may receive it
+ *   late, repeatedly or never. A round older than MAX_LEASE can no longer form a lease. Such a round,
+ *   or one that has been replaced, is received only if the network delayed it, and the network delays
+ *   at most one round at a time. The newest release stays in the network for the rest of the run.
+ * - A single acknowledgement changes nothing until the majority is complete, so a round only has the
+ *   set of witnesses that have acknowledged it.
+ * - A write either gets its response at once, or the response is lost and the write takes effect at
+ *   any later time.
+ * - A restart also stands for the loss of a process, because records name the old incarnation. Each
+ *   process restarts at most once, and at most one instance restarts. MAX_FAULTS bounds the sum of
+ *   restarts, delayed rounds, lost responses and releases after an upstream failure. Pauses, message
+ *   loss and outages are not bounded. MAX_TERM and MAX_VERSION bound terms and record versions.
+ * - The standbys are the first incarnations of all instances except the recorded owner. A standby may
+ *   claim at any time, because expiry notices and standby delays affect only the speed of a failover.
+ * - RECOVERY_TERM_STEP replaces the term step of 2^20 in rule R3. Hot keys (R4) and the upstream's own
+ *   check of grants (H4) are not modelled.
  */
 #include "ownership_bounds.pml"
 
-/* Identities: instance i is i in its first incarnation and i + 3 in its second. A set of witnesses is
- * a mask: bit w is witness w in its first incarnation, bit w + 4 in its second. */
-#define NONE 7
-#define ID(i) (i + 3 * iinc[i])
-#define WBIT(w) (1 << (w + 4 * winc[w]))
-#define MAJORITY(x) (((x) & ((x) - 1)) != 0)
-#define FIRST_SET 7
-/* S with its first-incarnation members replaced by their present incarnation. */
-#define PRESENT(s) (((s) & ~INC1) | (((s) & INC1) << 4))
-#define INC1 (winc[0] | (winc[1] << 1) | (winc[2] << 2) | (winc[3] << 3))
-
-/* Record log of the platform; `cur` is the version in force. */
-byte cur = 1;
-byte rown[VMAX + 1], rterm[VMAX + 1], rset[VMAX + 1], rprev[VMAX + 1], rnext[VMAX + 1];
-bool platform_up = true;  /* only changed in the checks of reachability */
-
-/* Instances. */
+/* Instance i has the identity i in its first incarnation and i + 3 in its second. */
+#define NO_INSTANCE 7
+#define INSTANCE_ID(i) (i + 3 * instance_incarnation[i])
+
+/* A set of witnesses is a bit mask: bit w is witness w in its first incarnation, and bit w + 4 is
+ * witness w in its second incarnation. */
+#define WITNESS_BIT(w) (1 << (w + 4 * witness_incarnation[w]))
+/* The bits of both incarnations of witness 0. */
+#define BOTH_INCARNATIONS 17
+/* Witnesses 0, 1 and 2 of the first record. */
+#define INITIAL_WITNESSES 7
+/* The set in which the spare, witness 3, replaces witness 2. */
+#define WITNESSES_WITH_SPARE 11
+/* Sets have three members, so two members are a majority. */
+#define IS_MAJORITY(x) (((x) & ((x) - 1)) != 0)
+/* The set s with each restarted member replaced by its second incarnation. */
+#define IN_CURRENT_INCARNATION(s) \
+    (((s) & ~RESTARTED_WITNESSES) | (((s) & RESTARTED_WITNESSES) << 4))
+#define RESTARTED_WITNESSES (witness_incarnation[0] | (witness_incarnation[1] << 1) | \
+    (witness_incarnation[2] << 2) | (witness_incarnation[3] << 3))
+
+/* The platform keeps every version of the record; the arrays are indexed by version. */
+byte current = 1;  /* newest version */
+byte record_owner[MAX_VERSION + 1], record_term[MAX_VERSION + 1],
+    record_witnesses[MAX_VERSION + 1], previous_witnesses[MAX_VERSION + 1],
+    next_owner[MAX_VERSION + 1];
+bool platform_up = true;  /* becomes false only in reachability checks with OUTAGE */
+
+/* States of an instance. */
 #define IDLE 0
+#define CLAIMING 1
+#define HOLDING 2
+/* Kinds of round. */
+#define NO_ROUND 0
 #define CLAIM 1
-#define HOLD 2
-byte st[NI], kv[NI], term[NI], lease[NI], age[NI], acks[NI], round[NI];
-bool iinc[NI];
-bool forced[NI];  /* forced: a majority acknowledged a round under version kv */
+#define HEARTBEAT 2
+
+/* Instances. */
+byte state[INSTANCES],
+    known_version[INSTANCES],  /* version of the record that the instance works with */
+    term[INSTANCES],           /* term of its last claim */
+    lease_left[INSTANCES],     /* ticks until its lease ends by its own clock */
+    round_age[INSTANCES],      /* ticks since its last round was sent, at most MAX_LEASE */
+    acks[INSTANCES],           /* witnesses that have acknowledged its last round */
+    round_kind[INSTANCES];
+bool instance_incarnation[INSTANCES];  /* 1 after a restart */
+bool version_confirmed[INSTANCES];     /* a majority acknowledged a round under known_version */
 /* The newest release sent. */
-byte rel_term, rel_ver, rel_id;
-
-#define W_OWNER 1
-#define W_CHANGE 2
-#define W_CLEAR 3
-#define W_NEXT 4
-#define W_MOVE 5
-#define W_RECOVER 6
-#define W_REPAIR 7
-/* Kind of the write of each instance whose answer was lost and that was not read back yet. */
-byte unknown[NI];
-/* A write whose answer was lost and that may still take effect. */
-byte late_kind, late_base, late_set, late_id, late_term;
-
-/* Witnesses. wtime: ticks to expires_at; wage: ticks a second incarnation has been up. */
-bool winc[4], wrel[NW];
-byte wver[NW], wterm[NW], whold[NW], wtime[NW], wage[NW];
-byte wrestarts;
-bool irestarts;
+byte release_term, release_version, release_holder;
+
+/* Kinds of write to the record. */
+#define WRITE_OWNER 1
+#define WRITE_WITNESS_CHANGE 2
+#define WRITE_CHANGE_END 3
+#define WRITE_NEXT_OWNER 4
+#define WRITE_MOVE 5
+#define WRITE_RECOVERY 6
+#define WRITE_REPLACE_NEW_SET 7
+/* Kind of the instance's write whose response was lost and which it has not read back yet, or 0. */
+byte unconfirmed_write[INSTANCES];
+/* The write whose response was lost and which may still take effect; pending_kind is 0 if there is
+ * none. */
+byte pending_kind, pending_base, pending_witnesses, pending_owner, pending_term;
+
+/* Witnesses. */
+bool witness_incarnation[4], witness_released[WITNESSES];
+byte witness_version[WITNESSES], witness_term[WITNESSES], witness_holder[WITNESSES],
+    witness_lease_left[WITNESSES],  /* ticks until expires_at */
+    witness_uptime[WITNESSES];      /* ticks since the restart, at most MAX_LEASE */
+byte witness_restarts;
+bool any_instance_restarted;
 byte faults;
-#define FAULT faults < FAULTS
+#define FAULT_PERMITTED faults < MAX_FAULTS
 #ifdef OUTAGE
 /* The platform goes down before any process is lost, and stays down. */
 #define MAY_RESTART (!platform_up)
@@ -77,80 +111,93 @@
 #define MAY_RESTART true
 #endif
 
-/* One round kept back by the network. */
-byte dkind, dterm, dver, did;
+/* The round that the network has delayed; delayed_kind is NO_ROUND if there is none. */
+byte delayed_kind, delayed_term, delayed_version, delayed_sender;
 
-/* Ghosts for the properties: newest term that formed a lease, and its holder, newest record version. */
-byte g_term, g_id = NONE, g_ver;
+/* Ghost variables, which the checked properties use: the highest term that formed a lease, the holder
+ * of that lease, and the highest record version under which a lease was formed. */
+byte newest_lease_term, newest_lease_holder = NO_INSTANCE, newest_lease_version;
 #ifdef REACH
-bool owner_served;
+bool first_owner_served;
 #endif
 
-hidden byte h, v, ok;
+/* Scratch variables, which are not part of the state. `accepted` is the result of handleRound and
+ * applyWrite. */
+hidden byte loop_index, scratch, accepted;
 
-#ifdef M_SELF_CHECK
-#define LEASE_VALID(i) (st[i] == HOLD)
+#ifdef MUTANT_NO_SELF_CHECK
+#define LEASE_VALID(i) (state[i] == HOLDING)
 #else
-#define LEASE_VALID(i) (st[i] == HOLD && lease[i] > 0)
+#define LEASE_VALID(i) (state[i] == HOLDING && lease_left[i] > 0)
 #endif
-#define DRAINING(i) (unknown[i] == W_MOVE)
+/* An owner that has written a planned move serves no requests until it knows whether the write took
+ * effect. */
+#define DRAINING(i) (unconfirmed_write[i] == WRITE_MOVE)
 #define CAN_SERVE(i) (LEASE_VALID(i) && !DRAINING(i))
 
-#ifdef M_JOINT
-#define HAS_MAJORITY(i) (MAJORITY(acks[i] & rset[kv[i]]))
+/* H1: during a witness change, a lease needs a majority of both sets (joint majority). */
+#ifdef MUTANT_NO_JOINT_MAJORITY
+#define HAS_MAJORITY(i) (IS_MAJORITY(acks[i] & record_witnesses[known_version[i]]))
 #else
-#define HAS_MAJORITY(i) (MAJORITY(acks[i] & rset[kv[i]]) && \
-    (rprev[kv[i]] == 0 || MAJORITY(acks[i] & rprev[kv[i]])))
+#define HAS_MAJORITY(i) (IS_MAJORITY(acks[i] & record_witnesses[known_version[i]]) && \
+    (previous_witnesses[known_version[i]] == 0 || \
+        IS_MAJORITY(acks[i] & previous_witnesses[known_version[i]])))
 #endif
 
-#ifdef M_DRIFT
-#define WITNESS_SPAN LEASE
+/* Ticks for which a witness keeps a lease after an acknowledgement. */
+#ifdef MUTANT_NO_DRIFT_MARGIN
+#define WITNESS_LEASE LEASE
 #else
-#define WITNESS_SPAN SPAN
+#define WITNESS_LEASE MAX_LEASE
 #endif
 
-/* W1: the members of a record that this process answers for. */
-#ifdef M_INCARNATION
-#define NAMED(w, ver) ((rset[ver] | rprev[ver]) & (17 << w))
+/* W1: the bit of witness w if the record names its current incarnation, otherwise 0. */
+#ifdef MUTANT_NO_INCARNATION_CHECK
+#define NAMED_WITNESS(w, version) \
+    ((record_witnesses[version] | previous_witnesses[version]) & (BOTH_INCARNATIONS << w))
 #else
-#define NAMED(w, ver) ((rset[ver] | rprev[ver]) & WBIT(w))
+#define NAMED_WITNESS(w, version) \
+    ((record_witnesses[version] | previous_witnesses[version]) & WITNESS_BIT(w))
 #endif
 
 /* W2 */
-#ifdef M_ADOPTION
-#define VERSION_OK(w, ver) true
-#define ADOPT(w, ver) skip
+#ifdef MUTANT_NO_VERSION_ADOPTION
+#define VERSION_ACCEPTABLE(w, version) true
+#define ADOPT_VERSION(w, version) skip
 #else
-#define VERSION_OK(w, ver) (ver >= wver[w])
-#define ADOPT(w, ver) wver[w] = ver
+#define VERSION_ACCEPTABLE(w, version) (version >= witness_version[w])
+#define ADOPT_VERSION(w, version) witness_version[w] = version
 #endif
 
-#ifdef M_EARLY_GRANT
-#define LEASE_OVER(w) true
+/* W4: whether the lease that the witness last granted has expired or was released. */
+#ifdef MUTANT_NO_EXPIRY_CHECK
+#define LEASE_ENDED(w) true
 #else
-#define LEASE_OVER(w) (wtime[w] == 0 || wrel[w])
+#define LEASE_ENDED(w) (witness_lease_left[w] == 0 || witness_released[w])
 #endif
 
-/* W5 */
-#ifdef M_RELEASE_WITNESS
+/* W5: a release closes its term, so that a delayed heartbeat with this term is refused. */
+#ifdef MUTANT_RELEASE_KEEPS_TERM_AT_WITNESS
 #define TERM_OPEN(w) true
 #else
-#define TERM_OPEN(w) (!wrel[w])
+#define TERM_OPEN(w) (!witness_released[w])
 #endif
 
-/* W3 and W4; the answer is left in ok. */
-inline witnessRequest(w, kind, id, tm, ver) {
-    ok = false;
+/* W3 (first branch) and W4 (second branch). Sets `accepted` if the witness acknowledges the round. */
+inline handleRound(w, kind, id, round_term, version) {
+    accepted = false;
     if
-    :: VERSION_OK(w, ver) ->
-        ADOPT(w, ver);
-        assert(wver[w] <= cur);
+    :: VERSION_ACCEPTABLE(w, version) ->
+        ADOPT_VERSION(w, version);
+        assert(witness_version[w] <= current);
         if
-        :: kind == HOLD && tm == wterm[w] && id == whold[w] && TERM_OPEN(w) ->
-            assert(!wrel[w]);
-            wtime[w] = WITNESS_SPAN; ok = true
-        :: tm > wterm[w] && LEASE_OVER(w) ->
-            wterm[w] = tm; whold[w] = id; wrel[w] = false; wtime[w] = WITNESS_SPAN; ok = true
+        :: kind == HEARTBEAT && round_term == witness_term[w] && id == witness_holder[w] &&
+            TERM_OPEN(w) ->
+            assert(!witness_released[w]);
+            witness_lease_left[w] = WITNESS_LEASE; accepted = true
+        :: round_term > witness_term[w] && LEASE_ENDED(w) ->
+            witness_term[w] = round_term; witness_holder[w] = id; witness_released[w] = false;
+            witness_lease_left[w] = WITNESS_LEASE; accepted = true
         :: else
         fi
     :: else
@@ -159,289 +206,386 @@
 
 #include "ownership_symmetry.pml"
 
-#define RECEIVE(w, i) \
-    :: d_step { round[i] != 0 && NAMED(w, kv[i]) && VERSION_OK(w, kv[i]) -> \
-        witnessRequest(w, round[i], ID(i), term[i], kv[i]); \
-        if :: ok -> acks[i] = acks[i] | NAMED(w, kv[i]) :: else fi; \
-        SORT }
+#define RECEIVE_ROUND(w, i) \
+    :: d_step { round_kind[i] != NO_ROUND && NAMED_WITNESS(w, known_version[i]) && \
+        VERSION_ACCEPTABLE(w, known_version[i]) -> \
+        handleRound(w, round_kind[i], INSTANCE_ID(i), term[i], known_version[i]); \
+        if :: accepted -> acks[i] = acks[i] | NAMED_WITNESS(w, known_version[i]) :: else fi; \
+        SORT_WITNESSES }
 
 /* W5 */
 #define RECEIVE_RELEASE(w) \
-    :: d_step { rel_term != 0 && NAMED(w, rel_ver) && VERSION_OK(w, rel_ver) -> \
-        ADOPT(w, rel_ver); \
+    :: d_step { release_term != 0 && NAMED_WITNESS(w, release_version) && \
+        VERSION_ACCEPTABLE(w, release_version) -> \
+        ADOPT_VERSION(w, release_version); \
         if \
-        :: whold[w] == rel_id && wterm[w] == rel_term -> wrel[w] = true; wtime[w] = 0 \
+        :: witness_holder[w] == release_holder && witness_term[w] == release_term -> \
+            witness_released[w] = true; witness_lease_left[w] = 0 \
         :: else \
         fi; \
-        SORT }
+        SORT_WITNESSES }
 
 proctype witness(byte w) {
     do
-    RECEIVE(w, 0)
-    RECEIVE(w, 1)
-#if NI > 2
-    RECEIVE(w, 2)
+    RECEIVE_ROUND(w, 0)
+    RECEIVE_ROUND(w, 1)
+#if INSTANCES > 2
+    RECEIVE_ROUND(w, 2)
 #endif
     RECEIVE_RELEASE(w)
-    :: d_step { dkind != 0 && NAMED(w, dver) && VERSION_OK(w, dver) ->
-        witnessRequest(w, dkind, did, dterm, dver);
-        SORT }
-    :: d_step { winc[w] == 0 && wrestarts < WITNESS_RESTARTS && MAY_RESTART && FAULT ->
-        faults++; wrestarts++; winc[w] = 1;
-        wver[w] = 0; wterm[w] = 0; whold[w] = NONE; wtime[w] = 0; wrel[w] = false;
-        SORT }
+    /* Receives the delayed round, which may be outdated; the sender no longer counts its
+     * acknowledgement. */
+    :: d_step { delayed_kind != NO_ROUND && NAMED_WITNESS(w, delayed_version) &&
+        VERSION_ACCEPTABLE(w, delayed_version) ->
+        handleRound(w, delayed_kind, delayed_sender, delayed_term, delayed_version);
+        SORT_WITNESSES }
+    /* A restart loses the volatile lease state. */
+    :: d_step { witness_incarnation[w] == 0 && witness_restarts < MAX_WITNESS_RESTARTS &&
+        MAY_RESTART && FAULT_PERMITTED ->
+        faults++; witness_restarts++; witness_incarnation[w] = 1;
+        witness_version[w] = 0; witness_term[w] = 0; witness_holder[w] = NO_INSTANCE;
+        witness_lease_left[w] = 0; witness_released[w] = false;
+        SORT_WITNESSES }
     od
 }
 
-/* Checks a lease that has just been formed or renewed. */
+/* Checks the properties of a lease that has just been formed or renewed. */
 inline checkLease(i) {
-    assert(term[i] > g_term || (term[i] == g_term && g_id == ID(i)));
-    assert(kv[i] >= g_ver);
-    g_term = term[i]; g_id = ID(i); g_ver = kv[i]
+    assert(term[i] > newest_lease_term ||
+        (term[i] == newest_lease_term && newest_lease_holder == INSTANCE_ID(i)));
+    assert(known_version[i] >= newest_lease_version);
+    newest_lease_term = term[i]; newest_lease_holder = INSTANCE_ID(i);
+    newest_lease_version = known_version[i]
 }
 
 #include "ownership_checks.pml"
 
-inline dropRound(i) { round[i] = 0; age[i] = SPAN; acks[i] = 0 }
+inline discardRound(i) { round_kind[i] = NO_ROUND; round_age[i] = MAX_LEASE; acks[i] = 0 }
 
-inline stepDown(i) { st[i] = IDLE; lease[i] = 0; forced[i] = false; dropRound(i) }
+inline stepDown(i) {
+    state[i] = IDLE; lease_left[i] = 0; version_confirmed[i] = false; discardRound(i)
+}
 
 inline release(i) {
-    rel_term = term[i]; rel_ver = kv[i]; rel_id = ID(i);
+    release_term = term[i]; release_version = known_version[i]; release_holder = INSTANCE_ID(i);
     stepDown(i)
 }
 
-/* Adopts record version ver: a holder that it does not name as owner releases and steps down (C2),
- * unless only other fields changed while the holder's own ownership is not recorded yet. A holder
- * whose recorded term is higher than the one it holds steps down and claims again. */
-inline adoptRecord(i, ver) {
+/* Adopts a record version. A holder that the record does not name as owner releases its lease and steps
+ * down (C2), unless its own ownership is not recorded yet and neither the owner nor the witnesses have
+ * changed. A holder that the record names as owner with a higher term than its own also releases its
+ * lease, and claims again. */
+inline adoptRecord(i, version) {
     if
-    :: ver != kv[i] ->
-        v = kv[i]; kv[i] = ver; forced[i] = false; dropRound(i);
+    :: version != known_version[i] ->
+        scratch = known_version[i];  /* the version known until now */
+        known_version[i] = version; version_confirmed[i] = false; discardRound(i);
         if
-        :: st[i] == HOLD && rown[ver] != ID(i) &&
-            (rown[ver] != rown[v] || rset[ver] != rset[v] || rprev[ver] != rprev[v]) -> release(i)
-        :: st[i] == HOLD && rown[ver] == ID(i) && rterm[ver] > term[i] -> release(i)
-        :: st[i] == CLAIM -> st[i] = IDLE
+        :: state[i] == HOLDING && record_owner[version] != INSTANCE_ID(i) &&
+            (record_owner[version] != record_owner[scratch] ||
+                record_witnesses[version] != record_witnesses[scratch] ||
+                previous_witnesses[version] != previous_witnesses[scratch]) -> release(i)
+        :: state[i] == HOLDING && record_owner[version] == INSTANCE_ID(i) &&
+            record_term[version] > term[i] -> release(i)
+        :: state[i] == CLAIMING -> state[i] = IDLE
         :: else
         fi
     :: else
     fi
 }
 
-#ifdef M_CONDITIONAL
-#define EXPECTED(base) true
+#ifdef MUTANT_UNCONDITIONAL_UPDATE
+#define BASE_IS_CURRENT(base) true
 #else
-#define EXPECTED(base) (base == cur)
+#define BASE_IS_CURRENT(base) (base == current)
 #endif
 
-/* Applies a conditional update. */
-inline apply(kind, base, set, id, tm) {
-    /* `base` may be `cur` itself, which changes last. */
-    ok = false;
+/* Applies a conditional update: writes a new version if the record still has the version `base`. Sets
+ * `accepted` if the update is applied. */
+inline applyWrite(kind, base, new_witnesses, new_owner, writer_term) {
+    /* Callers may pass `current` itself as `base`, so `current` has to change last. */
+    accepted = false;
     if
-    :: EXPECTED(base) && cur < VMAX ->
-        ok = true;
-        rown[cur + 1] = rown[base]; rterm[cur + 1] = rterm[base]; rset[cur + 1] = rset[base];
-        rprev[cur + 1] = rprev[base]; rnext[cur + 1] = rnext[base];
+    :: BASE_IS_CURRENT(base) && current < MAX_VERSION ->
+        accepted = true;
+        record_owner[current + 1] = record_owner[base];
+        record_term[current + 1] = record_term[base];
+        record_witnesses[current + 1] = record_witnesses[base];
+        previous_witnesses[current + 1] = previous_witnesses[base];
+        next_owner[current + 1] = next_owner[base];
         if
-        :: kind == W_OWNER -> rown[cur + 1] = id; rterm[cur + 1] = tm; rnext[cur + 1] = NONE
-        :: kind == W_CHANGE -> rprev[cur + 1] = rset[base]; rset[cur + 1] = set
-        :: kind == W_CLEAR -> rprev[cur + 1] = 0
-        :: kind == W_NEXT -> rnext[cur + 1] = id
-        :: kind == W_MOVE ->
-            rown[cur + 1] = rnext[base]; rterm[cur + 1] = tm + 1; rnext[cur + 1] = NONE
-        :: kind == W_RECOVER ->
-            rown[cur + 1] = id; rterm[cur + 1] = rterm[base] + TERM_STEP; rset[cur + 1] = set;
-            rprev[cur + 1] = 0; rnext[cur + 1] = NONE
-        :: kind == W_REPAIR ->
-            rown[cur + 1] = id; rterm[cur + 1] = rterm[base] + TERM_STEP; rset[cur + 1] = set;
-            rnext[cur + 1] = NONE
+        :: kind == WRITE_OWNER ->
+            record_owner[current + 1] = new_owner; record_term[current + 1] = writer_term;
+            next_owner[current + 1] = NO_INSTANCE
+        :: kind == WRITE_WITNESS_CHANGE ->
+            previous_witnesses[current + 1] = record_witnesses[base];
+            record_witnesses[current + 1] = new_witnesses
+        :: kind == WRITE_CHANGE_END -> previous_witnesses[current + 1] = 0
+        :: kind == WRITE_NEXT_OWNER -> next_owner[current + 1] = new_owner
+        :: kind == WRITE_MOVE ->
+            record_owner[current + 1] = next_owner[base];
+            record_term[current + 1] = writer_term + 1;
+            next_owner[current + 1] = NO_INSTANCE
+        :: kind == WRITE_RECOVERY ->
+            record_owner[current + 1] = new_owner;
+            record_term[current + 1] = record_term[base] + RECOVERY_TERM_STEP;
+            record_witnesses[current + 1] = new_witnesses;
+            previous_witnesses[current + 1] = 0; next_owner[current + 1] = NO_INSTANCE
+        :: kind == WRITE_REPLACE_NEW_SET ->
+            record_owner[current + 1] = new_owner;
+            record_term[current + 1] = record_term[base] + RECOVERY_TERM_STEP;
+            record_witnesses[current + 1] = new_witnesses;
+            next_owner[current + 1] = NO_INSTANCE
         fi;
-        assert(rterm[cur + 1] > rterm[cur] ||
-            (rterm[cur + 1] == rterm[cur] && rown[cur + 1] == rown[cur]));
-        cur = cur + 1
+        assert(record_term[current + 1] > record_term[current] ||
+            (record_term[current + 1] == record_term[current] &&
+                record_owner[current + 1] == record_owner[current]));
+        current = current + 1
     :: else
     fi
 }
 
-#define WRITE(i, guard, kind, set) \
-    :: d_step { (guard) && kv[i] < VMAX && unknown[i] == 0 && platform_up -> \
-        apply(kind, kv[i], set, ID(i), term[i]); \
+/* A write by instance i: either it gets its response at once, or the response is lost. */
+#define INSTANCE_WRITE(i, guard, kind, new_witnesses) \
+    :: d_step { (guard) && known_version[i] < MAX_VERSION && unconfirmed_write[i] == 0 && \
+        platform_up -> \
+        applyWrite(kind, known_version[i], new_witnesses, INSTANCE_ID(i), term[i]); \
         if \
-        :: kind == W_MOVE && ok -> kv[i] = cur; release(i) \
-        :: else -> adoptRecord(i, cur) \
+        :: kind == WRITE_MOVE && accepted -> known_version[i] = current; release(i) \
+        :: else -> adoptRecord(i, current) \
         fi } \
-    :: d_step { (guard) && kv[i] < VMAX && unknown[i] == 0 && LOST_ANSWERS && late_kind == 0 && FAULT -> \
-        postpone(kind, kv[i], set, ID(i), term[i]); \
-        LOST_ANSWER(i, kind) }
+    :: d_step { (guard) && known_version[i] < MAX_VERSION && unconfirmed_write[i] == 0 && \
+        ALLOW_LOST_RESPONSES && pending_kind == 0 && FAULT_PERMITTED -> \
+        delayWrite(kind, known_version[i], new_witnesses, INSTANCE_ID(i), term[i]); \
+        LOST_RESPONSE(i, kind) }
 
-inline postpone(kind, base, set, id, tm) {
+inline delayWrite(kind, base, new_witnesses, new_owner, writer_term) {
     faults++;
-    late_kind = kind; late_base = base; late_set = set; late_id = id; late_term = tm
+    pending_kind = kind; pending_base = base; pending_witnesses = new_witnesses;
+    pending_owner = new_owner; pending_term = writer_term
 }
 
-#ifdef M_READ_BACK
-/* Concludes that the write took effect. */
-#define LOST_ANSWER(i, kind) kv[i] = kv[i] + 1; dropRound(i)
+#ifdef MUTANT_NO_READ_BACK
+/* Concludes from the lost response that the write took effect. */
+#define LOST_RESPONSE(i, kind) known_version[i] = known_version[i] + 1; discardRound(i)
 #else
-#define LOST_ANSWER(i, kind) unknown[i] = kind
+#define LOST_RESPONSE(i, kind) unconfirmed_write[i] = kind
 #endif
 
-/* R2: previous_witnesses may be cleared. */
-#ifdef M_CLEAR
+/* R2: whether previous_witnesses may be cleared, which ends the witness change. */
+#ifdef MUTANT_EARLY_CHANGE_END
 #define BOTH_MAJORITIES(i) true
 #else
-#define BOTH_MAJORITIES(i) forced[i]
+#define BOTH_MAJORITIES(i) version_confirmed[i]
 #endif
 
-#define MAY_CHANGE(i) (WITNESS_CHANGES && OWNER_WITH_LEASE(i) && rprev[kv[i]] == 0 && \
-    rset[kv[i]] == FIRST_SET)
-#define OWNER_WITH_LEASE(i) (st[i] == HOLD && lease[i] > 0 && rown[kv[i]] == ID(i))
+#define MAY_CHANGE_WITNESSES(i) (ALLOW_WITNESS_CHANGES && OWNER_WITH_LEASE(i) && \
+    previous_witnesses[known_version[i]] == 0 && \
+    record_witnesses[known_version[i]] == INITIAL_WITNESSES)
+#define OWNER_WITH_LEASE(i) (state[i] == HOLDING && lease_left[i] > 0 && \
+    record_owner[known_version[i]] == INSTANCE_ID(i))
 
-#ifdef M_EVIDENCE
-#define DEAD 255
+/* R3: the first incarnations that are known to be permanently dead. The evidence is a second
+ * incarnation that has been up for MAX_LEASE. */
+#ifdef MUTANT_NO_RECOVERY_EVIDENCE
+#define DEAD_WITNESSES 255
 #else
-#ifdef M_EVIDENCE_WAIT
-#define DEAD INC1
+#ifdef MUTANT_NO_RECOVERY_WAIT
+#define DEAD_WITNESSES RESTARTED_WITNESSES
 #else
-#define DEAD ((winc[0] && wage[0] == SPAN) | ((winc[1] && wage[1] == SPAN) << 1) | \
-    ((winc[2] && wage[2] == SPAN) << 2) | ((winc[3] && wage[3] == SPAN) << 3))
+#define DEAD_WITNESSES ((witness_incarnation[0] && witness_uptime[0] == MAX_LEASE) | \
+    ((witness_incarnation[1] && witness_uptime[1] == MAX_LEASE) << 1) | \
+    ((witness_incarnation[2] && witness_uptime[2] == MAX_LEASE) << 2) | \
+    ((witness_incarnation[3] && witness_uptime[3] == MAX_LEASE) << 3))
 #endif
 #endif
-/* R3: the oldest set in force has lost its majority for good, so neither this record nor the one
- * before it can form a lease. */
-#ifdef M_EITHER_SET
-#define LOST(ver) (MAJORITY(rset[ver] & DEAD) || MAJORITY(rprev[ver] & DEAD))
+/* R3: the oldest set in force has permanently lost its majority, so no instance can form a lease under
+ * this version or the version before it. During a witness change, previous_witnesses is the oldest
+ * set. */
+#ifdef MUTANT_RECOVERY_BY_EITHER_SET
+#define MAJORITY_LOST(version) (IS_MAJORITY(record_witnesses[version] & DEAD_WITNESSES) || \
+    IS_MAJORITY(previous_witnesses[version] & DEAD_WITNESSES))
 #else
-#define LOST(ver) (MAJORITY((rprev[ver] == 0 -> rset[ver] : rprev[ver]) & DEAD))
+#define MAJORITY_LOST(version) (IS_MAJORITY((previous_witnesses[version] == 0 -> \
+    record_witnesses[version] : previous_witnesses[version]) & DEAD_WITNESSES))
 #endif
 
-/* C1: the term of the next claim. */
-#define OWNER_TERM(i) (term[i] < rterm[kv[i]] -> rterm[kv[i]] : term[i] + 1)
-#define STANDBY_TERM(i) ((term[i] < rterm[kv[i]] -> rterm[kv[i]] : term[i]) + 1)
-#define CLAIM_WITH(i, guard, tm) \
-    :: d_step { st[i] != HOLD && unknown[i] == 0 && (guard) && \
-        tm <= (rterm[kv[i]] > TMAX_OLD -> TMAX : TMAX_OLD) -> \
-        term[i] = tm; st[i] = CLAIM; round[i] = CLAIM; age[i] = 0; acks[i] = 0; SORT }
+/* C1: the term of the next claim, by the recorded owner and by a standby. */
+#define OWNER_CLAIM_TERM(i) (term[i] < record_term[known_version[i]] -> \
+    record_term[known_version[i]] : term[i] + 1)
+#define STANDBY_CLAIM_TERM(i) ((term[i] < record_term[known_version[i]] -> \
+    record_term[known_version[i]] : term[i]) + 1)
+#define START_CLAIM(i, guard, claim_term) \
+    :: d_step { state[i] != HOLDING && unconfirmed_write[i] == 0 && (guard) && \
+        claim_term <= (record_term[known_version[i]] > MAX_TERM_BEFORE_RECOVERY -> \
+            MAX_TERM : MAX_TERM_BEFORE_RECOVERY) -> \
+        term[i] = claim_term; state[i] = CLAIMING; \
+        round_kind[i] = CLAIM; round_age[i] = 0; acks[i] = 0; SORT_WITNESSES }
 
 proctype instance(byte i) {
     do
-    CLAIM_WITH(i, rown[kv[i]] == ID(i), OWNER_TERM(i))
-    CLAIM_WITH(i, rown[kv[i]] != ID(i) && iinc[i] == 0, STANDBY_TERM(i))
-    :: d_step { st[i] == CLAIM && HAS_MAJORITY(i) ->
-        st[i] = HOLD; lease[i] = SPAN - age[i]; forced[i] = true; checkLease(i) }
-    /* H1, H3 */
-    :: d_step { st[i] == HOLD && age[i] > 0 -> round[i] = HOLD; age[i] = 0; acks[i] = 0; SORT }
-    :: d_step { st[i] == HOLD && round[i] == HOLD && HAS_MAJORITY(i) &&
-        (lease[i] < SPAN - age[i] || !forced[i]) ->
-#ifdef M_SEND_TIME
-        lease[i] = SPAN;
+    START_CLAIM(i, record_owner[known_version[i]] == INSTANCE_ID(i), OWNER_CLAIM_TERM(i))
+    START_CLAIM(i, record_owner[known_version[i]] != INSTANCE_ID(i) &&
+        instance_incarnation[i] == 0, STANDBY_CLAIM_TERM(i))
+    /* The claim has a majority. The lease is measured from the send time of the claim (H1). */
+    :: d_step { state[i] == CLAIMING && HAS_MAJORITY(i) ->
+        state[i] = HOLDING; lease_left[i] = MAX_LEASE - round_age[i]; version_confirmed[i] = true;
+        checkLease(i) }
+    /* H1 and H3: sends a heartbeat, also after the lease has expired. */
+    :: d_step { state[i] == HOLDING && round_age[i] > 0 ->
+        round_kind[i] = HEARTBEAT; round_age[i] = 0; acks[i] = 0; SORT_WITNESSES }
+    /* The heartbeat has a majority: renews the lease. */
+    :: d_step { state[i] == HOLDING && round_kind[i] == HEARTBEAT && HAS_MAJORITY(i) &&
+        (lease_left[i] < MAX_LEASE - round_age[i] || !version_confirmed[i]) ->
+#ifdef MUTANT_LEASE_FROM_ACK_TIME
+        lease_left[i] = MAX_LEASE;
 #else
-        if :: lease[i] < SPAN - age[i] -> lease[i] = SPAN - age[i] :: else fi;
+        if
+        :: lease_left[i] < MAX_LEASE - round_age[i] -> lease_left[i] = MAX_LEASE - round_age[i]
+        :: else
+        fi;
 #endif
-        forced[i] = true; checkLease(i) }
-    /* H2 */
-    :: d_step { CAN_SERVE(i) -> checkHandOver(i) }
+        version_confirmed[i] = true; checkLease(i) }
+    /* H2: dispatches a request to the upstream. */
+    :: d_step { CAN_SERVE(i) -> checkDispatch(i) }
 #ifdef FAILOVER
     /* The upstream failed. */
-    :: d_step { st[i] == HOLD && lease[i] > 0 && unknown[i] == 0 && FAULT -> faults++; release(i) }
+    :: d_step { state[i] == HOLDING && lease_left[i] > 0 && unconfirmed_write[i] == 0 &&
+        FAULT_PERMITTED -> faults++; release(i) }
 #endif
-    :: d_step { st[i] == HOLD && lease[i] == 0 && unknown[i] == 0 -> stepDown(i) }
-#ifdef M_RELEASE_HOLDER
-    :: d_step { st[i] == IDLE && rel_term > 0 && term[i] == rel_term && ID(i) == rel_id -> st[i] = HOLD }
+    /* The lease has expired. */
+    :: d_step { state[i] == HOLDING && lease_left[i] == 0 && unconfirmed_write[i] == 0 -> stepDown(i) }
+#ifdef MUTANT_RELEASE_KEEPS_TERM_AT_HOLDER
+    /* Holds the released term again and sends heartbeats with it. */
+    :: d_step { state[i] == IDLE && release_term > 0 && term[i] == release_term &&
+        INSTANCE_ID(i) == release_holder -> state[i] = HOLDING }
 #endif
-    /* C2 */
-    WRITE(i, st[i] == HOLD && lease[i] > 0 && rown[kv[i]] != ID(i), W_OWNER, 0)
-#ifdef CHANGE
-    /* R1 */
-    WRITE(i, OWNER_WITH_LEASE(i) && rnext[kv[i]] != NONE && rnext[kv[i]] != ID(i), W_MOVE, 0)
+    /* C2: a standby that holds the lease records itself as owner. */
+    INSTANCE_WRITE(i, state[i] == HOLDING && lease_left[i] > 0 &&
+        record_owner[known_version[i]] != INSTANCE_ID(i), WRITE_OWNER, 0)
+#ifdef RECORD_CHANGES
+    /* R1: moves the partition to next_owner. */
+    INSTANCE_WRITE(i, OWNER_WITH_LEASE(i) && next_owner[known_version[i]] != NO_INSTANCE &&
+        next_owner[known_version[i]] != INSTANCE_ID(i), WRITE_MOVE, 0)
 #endif
 #ifndef FAILOVER
-    /* R2: the spare witness replaces witness 2, or new incarnations replace their predecessors. */
-#if NW > 3
-    WRITE(i, MAY_CHANGE(i), W_CHANGE, PRESENT(11))
+    /* R2: the spare replaces witness 2, or second incarnations replace restarted witnesses. */
+#if WITNESSES > 3
+    INSTANCE_WRITE(i, MAY_CHANGE_WITNESSES(i), WRITE_WITNESS_CHANGE,
+        IN_CURRENT_INCARNATION(WITNESSES_WITH_SPARE))
 #endif
-    WRITE(i, MAY_CHANGE(i) && INC1 != 0, W_CHANGE, PRESENT(7))
-    WRITE(i, OWNER_WITH_LEASE(i) && rprev[kv[i]] != 0 && BOTH_MAJORITIES(i), W_CLEAR, 0)
+    INSTANCE_WRITE(i, MAY_CHANGE_WITNESSES(i) && RESTARTED_WITNESSES != 0, WRITE_WITNESS_CHANGE,
+        IN_CURRENT_INCARNATION(INITIAL_WITNESSES))
+    INSTANCE_WRITE(i, OWNER_WITH_LEASE(i) && previous_witnesses[known_version[i]] != 0 &&
+        BOTH_MAJORITIES(i), WRITE_CHANGE_END, 0)
 #endif
-    /* C3: reads back after a lost answer. */
-    :: d_step { unknown[i] != 0 && platform_up -> unknown[i] = 0; adoptRecord(i, cur) }
-    /* Pulls; they also work while the platform is down. */
-    :: d_step { kv[i] < cur && unknown[i] == 0 -> adoptRecord(i, cur) }
-    /* A restart forgets everything. */
-    :: d_step { INSTANCE_RESTARTS && MAY_RESTART && !irestarts && FAULT ->
-        faults++; irestarts = true;
-        iinc[i] = 1; stepDown(i); term[i] = 0; kv[i] = cur; unknown[i] = 0 }
+    /* C3: reads the record back after a lost response. */
+    :: d_step { unconfirmed_write[i] != 0 && platform_up ->
+        unconfirmed_write[i] = 0; adoptRecord(i, current) }
+    /* Learns the newest record by a pull from a peer, which also works while the platform is down. */
+    :: d_step { known_version[i] < current && unconfirmed_write[i] == 0 -> adoptRecord(i, current) }
+    /* A restart loses all state of the instance. */
+    :: d_step { ALLOW_INSTANCE_RESTART && MAY_RESTART && !any_instance_restarted &&
+        FAULT_PERMITTED ->
+        faults++; any_instance_restarted = true;
+        instance_incarnation[i] = 1; stepDown(i); term[i] = 0; known_version[i] = current;
+        unconfirmed_write[i] = 0 }
     od
 }
 
-#define COORDINATOR_WRITE(guard, kind, set, id) \
-    :: d_step { (guard) && cur < VMAX && platform_up -> apply(kind, cur, set, id, 0) } \
-    :: d_step { (guard) && cur < VMAX && LOST_ANSWERS && late_kind == 0 && FAULT -> \
-        postpone(kind, cur, set, id, 0) }
+/* A write by the service's coordinator, whose response has no effect on the coordinator. */
+#define COORDINATOR_WRITE(guard, kind, new_witnesses, new_owner) \
+    :: d_step { (guard) && current < MAX_VERSION && platform_up -> \
+        applyWrite(kind, current, new_witnesses, new_owner, 0) } \
+    :: d_step { (guard) && current < MAX_VERSION && ALLOW_LOST_RESPONSES && pending_kind == 0 && \
+        FAULT_PERMITTED -> \
+        delayWrite(kind, current, new_witnesses, new_owner, 0) }
 
-/* The platform and the service's coordinator, whose writes need no answer. */
+/* The platform, and the coordinator of the service. */
 proctype platform() {
     do
-    :: d_step { late_kind != 0 && platform_up ->
-        apply(late_kind, late_base, late_set, late_id, late_term);
-        late_kind = 0; late_base = 0; late_set = 0; late_id = 0; late_term = 0 }
+    /* The write whose response was lost takes effect, or is refused because the record has changed. */
+    :: d_step { pending_kind != 0 && platform_up ->
+        applyWrite(pending_kind, pending_base, pending_witnesses, pending_owner, pending_term);
+        pending_kind = 0; pending_base = 0; pending_witnesses = 0; pending_owner = 0;
+        pending_term = 0 }
 #ifdef OUTAGE
-    :: d_step { platform_up && g_term > 0 -> platform_up = false }
+    /* The outage starts after the first lease, so that there is an owner to lose. */
+    :: d_step { platform_up && newest_lease_term > 0 -> platform_up = false }
 #endif
-#ifdef CHANGE
-    COORDINATOR_WRITE(MOVES && rnext[cur] == NONE && rown[cur] != 1, W_NEXT, 0, 1)
+#ifdef RECORD_CHANGES
+    /* R1: plans a move to instance 1. */
+    COORDINATOR_WRITE(ALLOW_MOVES && next_owner[current] == NO_INSTANCE &&
+        record_owner[current] != 1, WRITE_NEXT_OWNER, 0, 1)
 #endif
 #ifdef RECOVERY
-#define MAY_RECOVER (LOST(cur) && rterm[cur] <= TMAX_OLD)
-    COORDINATOR_WRITE(MAY_RECOVER, W_RECOVER, PRESENT(7), ID(0))
-    COORDINATOR_WRITE(MAY_RECOVER, W_RECOVER, PRESENT(7), ID(1))
-#if NW > 3
-    COORDINATOR_WRITE(MAY_RECOVER, W_RECOVER, PRESENT(11), ID(0))
-    COORDINATOR_WRITE(MAY_RECOVER, W_RECOVER, PRESENT(11), ID(1))
-    /* Only the new set is lost: it is replaced and the previous one stays in force. */
-#define MAY_REPAIR (rprev[cur] != 0 && !LOST(cur) && MAJORITY(rset[cur] & DEAD) && rterm[cur] <= TMAX_OLD)
-    COORDINATOR_WRITE(MAY_REPAIR, W_REPAIR, PRESENT(11), ID(0))
-    COORDINATOR_WRITE(MAY_REPAIR, W_REPAIR, PRESENT(11), ID(1))
+    /* R3: recovery with either instance as the new owner. */
+#define MAY_RECOVER (MAJORITY_LOST(current) && record_term[current] <= MAX_TERM_BEFORE_RECOVERY)
+    COORDINATOR_WRITE(MAY_RECOVER, WRITE_RECOVERY,
+        IN_CURRENT_INCARNATION(INITIAL_WITNESSES), INSTANCE_ID(0))
+    COORDINATOR_WRITE(MAY_RECOVER, WRITE_RECOVERY,
+        IN_CURRENT_INCARNATION(INITIAL_WITNESSES), INSTANCE_ID(1))
+#if WITNESSES > 3
+    COORDINATOR_WRITE(MAY_RECOVER, WRITE_RECOVERY,
+        IN_CURRENT_INCARNATION(WITNESSES_WITH_SPARE), INSTANCE_ID(0))
+    COORDINATOR_WRITE(MAY_RECOVER, WRITE_RECOVERY,
+        IN_CURRENT_INCARNATION(WITNESSES_WITH_SPARE), INSTANCE_ID(1))
+    /* Only the new set has lost its majority: it is replaced, and the previous set stays in force. */
+#define MAY_REPLACE_NEW_SET (previous_witnesses[current] != 0 && !MAJORITY_LOST(current) && \
+    IS_MAJORITY(record_witnesses[current] & DEAD_WITNESSES) && \
+    record_term[current] <= MAX_TERM_BEFORE_RECOVERY)
+    COORDINATOR_WRITE(MAY_REPLACE_NEW_SET, WRITE_REPLACE_NEW_SET,
+        IN_CURRENT_INCARNATION(WITNESSES_WITH_SPARE), INSTANCE_ID(0))
+    COORDINATOR_WRITE(MAY_REPLACE_NEW_SET, WRITE_REPLACE_NEW_SET,
+        IN_CURRENT_INCARNATION(WITNESSES_WITH_SPARE), INSTANCE_ID(1))
 #endif
 #endif
     od
 }
 
+/* The clock and the network. */
 proctype environment() {
     do
-    /* Time. */
+    /* One tick passes. */
     :: d_step { true ->
-        for (h : 0 .. NI - 1) {
-            if :: lease[h] > 0 -> lease[h]-- :: else fi;
+        for (loop_index : 0 .. INSTANCES - 1) {
+            if :: lease_left[loop_index] > 0 -> lease_left[loop_index]-- :: else fi;
             if
-            :: age[h] < SPAN ->
-                age[h]++;
+            :: round_age[loop_index] < MAX_LEASE ->
+                round_age[loop_index]++;
                 if
-                :: age[h] == SPAN ->
-                    round[h] = 0; acks[h] = 0;
-                    if :: st[h] == CLAIM -> st[h] = IDLE :: else fi
+                :: round_age[loop_index] == MAX_LEASE ->
+                    round_kind[loop_index] = NO_ROUND; acks[loop_index] = 0;
+                    if :: state[loop_index] == CLAIMING -> state[loop_index] = IDLE :: else fi
                 :: else
                 fi
             :: else
             fi
         }
-        for (h : 0 .. NW - 1) {
-            if :: wtime[h] > 0 -> wtime[h]-- :: else fi;
+        for (loop_index : 0 .. WITNESSES - 1) {
+            if
+            :: witness_lease_left[loop_index] > 0 -> witness_lease_left[loop_index]--
+            :: else
+            fi;
 #ifdef RECOVERY
-            if :: winc[h] && wage[h] < SPAN -> wage[h]++ :: else fi
+            if
+            :: witness_incarnation[loop_index] && witness_uptime[loop_index] < MAX_LEASE ->
+                witness_uptime[loop_index]++
+            :: else
+            fi
 #endif
         }
-        h = 0 }
-    /* Keeps a round back. */
-#define KEEP(i) \
-    :: d_step { KEEPS && dkind == 0 && round[i] != 0 && FAULT -> \
-        faults++; dkind = round[i]; dterm = term[i]; dver = kv[i]; did = ID(i) }
-    KEEP(0)
-    KEEP(1)
-#if NI > 2
-    KEEP(2)
+        loop_index = 0 }
+    /* The network delays the current round of an instance. */
+#define DELAY_ROUND(i) \
+    :: d_step { ALLOW_DELAYED_ROUNDS && delayed_kind == NO_ROUND && round_kind[i] != NO_ROUND && \
+        FAULT_PERMITTED -> \
+        faults++; delayed_kind = round_kind[i]; delayed_term = term[i]; \
+        delayed_version = known_version[i]; delayed_sender = INSTANCE_ID(i) }
+    DELAY_ROUND(0)
+    DELAY_ROUND(1)
+#if INSTANCES > 2
+    DELAY_ROUND(2)
 #endif
     od
 }
@@ -449,17 +593,20 @@
 init {
     atomic {
         d_step {
-            rown[1] = 0; rterm[1] = 1; rset[1] = FIRST_SET; rprev[1] = 0; rnext[1] = NONE;
-            for (h : 0 .. NI - 1) { kv[h] = 1; age[h] = SPAN }
-            for (h : 0 .. NW - 1) { whold[h] = NONE }
-            h = 0
+            record_owner[1] = 0; record_term[1] = 1; record_witnesses[1] = INITIAL_WITNESSES;
+            previous_witnesses[1] = 0; next_owner[1] = NO_INSTANCE;
+            for (loop_index : 0 .. INSTANCES - 1) {
+                known_version[loop_index] = 1; round_age[loop_index] = MAX_LEASE
+            }
+            for (loop_index : 0 .. WITNESSES - 1) { witness_holder[loop_index] = NO_INSTANCE }
+            loop_index = 0
         }
         run instance(0); run instance(1);
-#if NI > 2
+#if INSTANCES > 2
         run instance(2);
 #endif
         run witness(0); run witness(1); run witness(2);
-#if NW > 3
+#if WITNESSES > 3
         run witness(3);
 #endif
         run platform(); run environment();
--- a/model/ownership_symmetry.pml
+++ b/model/ownership_symmetry.pml
@@ -1,44 +1,61 @@
-/* Witnesses that play the same part are interchangeable: all of the first set, or, where the spare
- * may replace witness 2, witnesses 0 and 1. Sorts them, so that one state of each set of permutations
- * is explored; record sets and acknowledgements are permuted with them. */
-#define KEY(w) (winc[w] | (wrel[w] << 1) | (wver[w] << 2) | (wterm[w] << 5) | (whold[w] << 8) | \
-    (wtime[w] << 11) | (((acks[0] >> w) & 17) << 14) | (((acks[1] >> w) & 17) << 19) | ACKS2(w))
-#if NI > 2
-#define ACKS2(w) (((acks[2] >> w) & 17) << 24)
-#define SWAP_ACKS2(a, b) SWAP_BITS(acks[2], a, b)
+/* Symmetry reduction. Witnesses that have the same role are interchangeable: all witnesses if there is
+ * no spare, otherwise witnesses 0 and 1, because the spare may replace witness 2. SORT_WITNESSES sorts
+ * them by their state, so that Spin explores one state of each set of permutations. The sets of
+ * witnesses in records and acknowledgements are permuted in the same way. */
+
+/* The state of witness w as a number: the version, term, holder and lease have 3 bits each, and the
+ * acknowledgements of each instance have 5 bits (mask BOTH_INCARNATIONS). The key leaves out
+ * witness_uptime; witnesses with equal keys keep their order, which is correct but may explore more
+ * states. */
+#define SORT_KEY(w) (witness_incarnation[w] | (witness_released[w] << 1) | \
+    (witness_version[w] << 2) | (witness_term[w] << 5) | (witness_holder[w] << 8) | \
+    (witness_lease_left[w] << 11) | (((acks[0] >> w) & BOTH_INCARNATIONS) << 14) | \
+    (((acks[1] >> w) & BOTH_INCARNATIONS) << 19) | SORT_KEY_ACKS_2(w))
+#if INSTANCES > 2
+#define SORT_KEY_ACKS_2(w) (((acks[2] >> w) & BOTH_INCARNATIONS) << 24)
+#define SWAP_ACKS_2(a, b) SWAP_BITS(acks[2], a, b)
 #else
-#define ACKS2(w) 0
-#define SWAP_ACKS2(a, b)
+#define SORT_KEY_ACKS_2(w) 0
+#define SWAP_ACKS_2(a, b)
 #endif
-#define SWAP(x, a, b) v = x[a]; x[a] = x[b]; x[b] = v;
-#define SWAP_BITS(x, a, b) \
-    x = (x & ~(17 * ((1 << a) | (1 << b)))) | (((x >> a) & 17) << b) | (((x >> b) & 17) << a);
-#define SWAP_SETS(x, a, b) SWAP_BITS(rset[x], a, b) SWAP_BITS(rprev[x], a, b)
+/* Swaps two elements of an array. */
+#define SWAP(array, a, b) scratch = array[a]; array[a] = array[b]; array[b] = scratch;
+/* Swaps witnesses a and b in a set. */
+#define SWAP_BITS(set, a, b) \
+    set = (set & ~(BOTH_INCARNATIONS * ((1 << a) | (1 << b)))) | \
+        (((set >> a) & BOTH_INCARNATIONS) << b) | (((set >> b) & BOTH_INCARNATIONS) << a);
+#define SWAP_SETS(version, a, b) \
+    SWAP_BITS(record_witnesses[version], a, b) SWAP_BITS(previous_witnesses[version], a, b)
+/* Swaps witnesses a and b in all records that may be written and in the pending write. Version 1 names
+ * all interchangeable witnesses, so a swap does not change it; nor do swaps change any version in
+ * FAILOVER, where the sets of witnesses stay the same. */
 #ifdef FAILOVER
 #define SWAP_RECORDS(a, b)
 #else
-#if VMAX == 2
-#define SWAP_RECORDS(a, b) SWAP_SETS(2, a, b) SWAP_BITS(late_set, a, b)
+#if MAX_VERSION == 2
+#define SWAP_RECORDS(a, b) SWAP_SETS(2, a, b) SWAP_BITS(pending_witnesses, a, b)
 #endif
-#if VMAX == 3
-#define SWAP_RECORDS(a, b) SWAP_SETS(2, a, b) SWAP_SETS(3, a, b) SWAP_BITS(late_set, a, b)
+#if MAX_VERSION == 3
+#define SWAP_RECORDS(a, b) \
+    SWAP_SETS(2, a, b) SWAP_SETS(3, a, b) SWAP_BITS(pending_witnesses, a, b)
 #endif
-#if VMAX == 4
+#if MAX_VERSION == 4
 #define SWAP_RECORDS(a, b) SWAP_SETS(2, a, b) SWAP_SETS(3, a, b) SWAP_SETS(4, a, b) \
-    SWAP_BITS(late_set, a, b)
+    SWAP_BITS(pending_witnesses, a, b)
 #endif
 #endif
-#define ORDER(a, b) \
+#define SORT_PAIR(a, b) \
     if \
-    :: KEY(a) > KEY(b) -> \
-        SWAP(winc, a, b) SWAP(wrel, a, b) SWAP(wver, a, b) SWAP(wterm, a, b) SWAP(whold, a, b) \
-        SWAP(wtime, a, b) SWAP(wage, a, b) SWAP_RECORDS(a, b) \
-        SWAP_BITS(acks[0], a, b) SWAP_BITS(acks[1], a, b) SWAP_ACKS2(a, b) \
-        v = 0 \
+    :: SORT_KEY(a) > SORT_KEY(b) -> \
+        SWAP(witness_incarnation, a, b) SWAP(witness_released, a, b) \
+        SWAP(witness_version, a, b) SWAP(witness_term, a, b) SWAP(witness_holder, a, b) \
+        SWAP(witness_lease_left, a, b) SWAP(witness_uptime, a, b) SWAP_RECORDS(a, b) \
+        SWAP_BITS(acks[0], a, b) SWAP_BITS(acks[1], a, b) SWAP_ACKS_2(a, b) \
+        scratch = 0 \
     :: else \
     fi
-#if NW == 3
-#define SORT ORDER(0, 1); ORDER(1, 2); ORDER(0, 1)
+#if WITNESSES == 3
+#define SORT_WITNESSES SORT_PAIR(0, 1); SORT_PAIR(1, 2); SORT_PAIR(0, 1)
 #else
-#define SORT ORDER(0, 1)
+#define SORT_WITNESSES SORT_PAIR(0, 1)
 #endif
