--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -2,25 +2,25 @@
  *
  * The platform stores the service team's document and the accepted copy of it. The model reduces a
  * document to its version and whether it is valid. Two operators write the document by conditional
- * update, the coordinator copies valid documents, and the daemons read the platform (as relays do) or
- * pull from their peers.
+ * update, the coordinator copies valid documents, and the daemons read the platform (as relays do)
+ * or pull from their peers.
  *
- * A run may define one of two reduced configurations. ONLY_DISTRIBUTION leaves out the operators and
- * the coordinator, and the accepted version simply increases. ONLY_WRITES leaves out pulls, restarts
- * and delayed responses. Without either of them, the model is complete.
+ * A run may define one of two reduced configurations. ONLY_DISTRIBUTION leaves out the operators
+ * and the coordinator, and the accepted version simply increases. ONLY_WRITES leaves out pulls,
+ * restarts and delayed responses. Without either of them, the model is complete.
  *
  * Abstractions:
- * - Any step may be delayed indefinitely, which covers pauses, lost messages and platform outages of
- *   any length. The response to a pull may be delayed and then delivered more than once.
+ * - Any step may be delayed indefinitely, which covers pauses, lost messages and platform outages
+ *   of any length. The response to a pull may be delayed and then delivered more than once.
  * - Any daemon may act as a relay, and a relay may receive an outdated state from its watch.
- * - Objects other than the service's accepted document, truncated responses and the election of relays
- *   are not modelled.
- * - A daemon needs responses of two peers to become ready without the platform, because there are only
- *   three daemons. Daemons 0 and 1 are in one availability zone and daemon 2 is in another, so daemon 2
- *   is one of the two peers unless it is the daemon that starts.
- * - A restarted daemon may not enforce a version below those that it reported in pulls to peers that
- *   have not restarted since. REACH_UNREPORTED shows that it may enforce a version below one that it
- *   enforced before but never reported.
+ * - Objects other than the service's accepted document, truncated responses and the election of
+ *   relays are not modelled.
+ * - A daemon needs responses of two peers to become ready without the platform, because there are
+ *   only three daemons. Daemons 0 and 1 are in one availability zone and daemon 2 is in another, so
+ *   daemon 2 is one of the two peers unless it is the daemon that starts.
+ * - A restarted daemon may not enforce a version below those that it reported in pulls to peers
+ *   that have not restarted since. REACH_UNREPORTED shows that it may enforce a version below one
+ *   that it enforced before but never reported.
  * - The store-wide revision is the version of the accepted copy.
  */
 #ifndef MAX_VERSION
@@ -42,7 +42,8 @@
 /* The version of the team's document, and for each version whether the document is valid. */
 byte document = 1;
 bool valid[MAX_VERSION + 1];
-/* The version of the accepted copy, and for each version the document version it was copied from. */
+/* The version of the accepted copy, and for each version the document version it was copied from.
+ * */
 byte accepted = 1;
 byte source_version[MAX_VERSION + 1];
 
@@ -51,8 +52,9 @@
 /* Not used: no step reads or writes it. */
 byte edit_base[OPERATORS];
 
-/* For each daemon: the newest accepted version it knows, the peers that have responded since its start
- * (a bit mask), and whether it is ready. A daemon enforces the version it knows while it is ready. */
+/* For each daemon: the newest accepted version it knows, the peers that have responded since its
+ * start (a bit mask), and whether it is ready. A daemon enforces the version it knows while it is
+ * ready. */
 byte version[DAEMONS], responses[DAEMONS];
 bool ready[DAEMONS];
 /* Element p * DAEMONS + d is the highest version that daemon d has reported to daemon p, as far as
@@ -154,8 +156,9 @@
     /* Receives an earlier state from a watch that lags behind. */
     :: d_step { ready[d] && accepted > 1 -> receive(d, accepted - 1) }
 #ifndef ONLY_WRITES
-    /* Pulls from peer p, which remembers the version that this daemon reports. The response contains
-     * the version that the peer remembered before, which is the minimum for a starting daemon. */
+    /* Pulls from peer p, which remembers the version that this daemon reports. The response
+     * contains the version that the peer remembered before, which is the minimum for a starting
+     * daemon. */
 #define PULL(p) \
     :: d_step { p != d && ready[p] -> \
         scratch = reported[p * DAEMONS + d]; \
@@ -214,8 +217,8 @@
     od
 }
 
-/* The REACH_* checks assert false in the state that has to be reachable. REACH_UNREPORTED instead keeps
- * the minimum of a restarted daemon, so that the assertion in enforce() is violated. */
+/* The REACH_* checks assert false in the state that has to be reachable. REACH_UNREPORTED instead
+ * keeps the minimum of a restarted daemon, so that the assertion in enforce() is violated. */
 #ifdef REACH_NEWEST
 /* The newest document is in force everywhere, after a restart and an invalid document. */
 active proctype reach() {
@@ -229,8 +232,8 @@
 /* A restarted daemon has become ready through its peers alone and has the newest version. */
 active proctype reach() {
     d_step { restarts > 0 && !platform_up && ready[0] && ready[1] && ready[2] && ready_by_peers &&
-        version[0] == accepted && version[1] == accepted && version[2] == accepted && accepted > 1 ->
-        assert(false) }
+        version[0] == accepted && version[1] == accepted && version[2] == accepted &&
+        accepted > 1 -> assert(false) }
 }
 #endif
 
--- a/model/ownership.pml
+++ b/model/ownership.pml
@@ -1,33 +1,37 @@
 /* Ownership protocol of one partition (docs/design.md, section 4). See docs/model.md.
  *
- * The numbered rules in the comments (W1 to W5, H1 to H4, C1 to C3, R1 to R4) are those of the design.
- * Each run defines exactly one of three configurations: FAILOVER, RECORD_CHANGES (rules R1 and R2) or
- * RECOVERY (rule R3, also while a witness change of rule R2 is in progress).
+ * The numbered rules in the comments (W1 to W5, H1 to H4, C1 to C3, R1 to R4) are those of the
+ * design. Each run defines exactly one of three configurations: FAILOVER, RECORD_CHANGES (rules R1
+ * and R2) or RECOVERY (rule R3, also while a witness change of rule R2 is in progress).
  *
  * Abstractions:
- * - Each daemon is a process with a single control state. Any step may be delayed indefinitely, which
- *   covers pauses of any length, crashes that are not detected, message loss and platform outages.
+ * - Each daemon is a process with a single control state. Any step may be delayed indefinitely,
+ *   which covers pauses of any length, crashes that are not detected, message loss and platform
+ *   outages.
  * - Time is discrete. `lease_left` and `round_age` count ticks of true time, and the holder's clock
- *   runs at the slowest permitted rate: a lease of LEASE ticks on the holder's clock lasts MAX_LEASE =
- *   LEASE + DRIFT_MARGIN true ticks. With a faster clock the holder stops earlier, which only removes
- *   behaviours.
- * - A round is one claim or heartbeat that an instance sends to all witnesses. The last round of each
- *   instance stays in the network until the next round replaces it, so each witness may receive it
- *   late, repeatedly or never. A round older than MAX_LEASE can no longer form a lease. Such a round,
- *   or one that has been replaced, is received only if the network delayed it, and the network delays
- *   at most one round at a time. The newest release stays in the network for the rest of the run.
- * - A single acknowledgement changes nothing until the majority is complete, so a round only has the
- *   set of witnesses that have acknowledged it.
+ *   runs at the slowest permitted rate: a lease of LEASE ticks on the holder's clock lasts
+ *   MAX_LEASE = LEASE + DRIFT_MARGIN true ticks. With a faster clock the holder stops earlier,
+ *   which only removes behaviours.
+ * - A round is one claim or heartbeat that an instance sends to all witnesses. The last round of
+ *   each instance stays in the network until the next round replaces it, so each witness may
+ *   receive it late, repeatedly or never. A round older than MAX_LEASE can no longer form a lease.
+ *   Such a round, or one that has been replaced, is received only if the network delayed it, and
+ *   the network delays at most one round at a time. The newest release stays in the network for the
+ *   rest of the run.
+ * - A single acknowledgement changes nothing until the majority is complete, so a round only has
+ *   the set of witnesses that have acknowledged it.
  * - A write either gets its response at once, or the response is lost and the write takes effect at
  *   any later time.
  * - A restart also stands for the loss of a process, because records name the old incarnation. Each
  *   process restarts at most once, and at most one instance restarts. MAX_FAULTS bounds the sum of
- *   restarts, delayed rounds, lost responses and releases after an upstream failure. Pauses, message
- *   loss and outages are not bounded. MAX_TERM and MAX_VERSION bound terms and record versions.
- * - The standbys are the first incarnations of all instances except the recorded owner. A standby may
- *   claim at any time, because expiry notices and standby delays affect only the speed of a failover.
- * - RECOVERY_TERM_STEP replaces the term step of 2^20 in rule R3. Hot keys (R4) and the upstream's own
- *   check of grants (H4) are not modelled.
+ *   restarts, delayed rounds, lost responses and releases after an upstream failure. Pauses,
+ *   message loss and outages are not bounded. MAX_TERM and MAX_VERSION bound terms and record
+ *   versions.
+ * - The standbys are the first incarnations of all instances except the recorded owner. A standby
+ *   may claim at any time, because expiry notices and standby delays affect only the speed of a
+ *   failover.
+ * - RECOVERY_TERM_STEP replaces the term step of 2^20 in rule R3. Hot keys (R4) and the upstream's
+ *   own check of grants (H4) are not modelled.
  */
 #include "ownership_bounds.pml"
 
@@ -114,8 +118,8 @@
 /* The round that the network has delayed; delayed_kind is NO_ROUND if there is none. */
 byte delayed_kind, delayed_term, delayed_version, delayed_sender;
 
-/* Ghost variables, which the checked properties use: the highest term that formed a lease, the holder
- * of that lease, and the highest record version under which a lease was formed. */
+/* Ghost variables, which the checked properties use: the highest term that formed a lease, the
+ * holder of that lease, and the highest record version under which a lease was formed. */
 byte newest_lease_term, newest_lease_holder = NO_INSTANCE, newest_lease_version;
 #ifdef REACH
 bool first_owner_served;
@@ -183,7 +187,8 @@
 #define TERM_OPEN(w) (!witness_released[w])
 #endif
 
-/* W3 (first branch) and W4 (second branch). Sets `accepted` if the witness acknowledges the round. */
+/* W3 (first branch) and W4 (second branch). Sets `accepted` if the witness acknowledges the round.
+ * */
 inline handleRound(w, kind, id, round_term, version) {
     accepted = false;
     if
@@ -271,10 +276,10 @@
     stepDown(i)
 }
 
-/* Adopts a record version. A holder that the record does not name as owner releases its lease and steps
- * down (C2), unless its own ownership is not recorded yet and neither the owner nor the witnesses have
- * changed. A holder that the record names as owner with a higher term than its own also releases its
- * lease, and claims again. */
+/* Adopts a record version. A holder that the record does not name as owner releases its lease and
+ * steps down (C2), unless its own ownership is not recorded yet and neither the owner nor the
+ * witnesses have changed. A holder that the record names as owner with a higher term than its own
+ * also releases its lease, and claims again. */
 inline adoptRecord(i, version) {
     if
     :: version != known_version[i] ->
@@ -300,8 +305,8 @@
 #define BASE_IS_CURRENT(base) (base == current)
 #endif
 
-/* Applies a conditional update: writes a new version if the record still has the version `base`. Sets
- * `accepted` if the update is applied. */
+/* Applies a conditional update: writes a new version if the record still has the version `base`.
+ * Sets `accepted` if the update is applied. */
 inline applyWrite(kind, base, new_witnesses, new_owner, writer_term) {
     /* Callers may pass `current` itself as `base`, so `current` has to change last. */
     accepted = false;
@@ -399,9 +404,9 @@
     ((witness_incarnation[3] && witness_uptime[3] == MAX_LEASE) << 3))
 #endif
 #endif
-/* R3: the oldest set in force has permanently lost its majority, so no instance can form a lease under
- * this version or the version before it. During a witness change, previous_witnesses is the oldest
- * set. */
+/* R3: the oldest set in force has permanently lost its majority, so no instance can form a lease
+ * under this version or the version before it. During a witness change, previous_witnesses is the
+ * oldest set. */
 #ifdef MUTANT_RECOVERY_BY_EITHER_SET
 #define MAJORITY_LOST(version) (IS_MAJORITY(record_witnesses[version] & DEAD_WITNESSES) || \
     IS_MAJORITY(previous_witnesses[version] & DEAD_WITNESSES))
@@ -454,7 +459,8 @@
         FAULT_PERMITTED -> faults++; release(i) }
 #endif
     /* The lease has expired. */
-    :: d_step { state[i] == HOLDING && lease_left[i] == 0 && unconfirmed_write[i] == 0 -> stepDown(i) }
+    :: d_step { state[i] == HOLDING && lease_left[i] == 0 && unconfirmed_write[i] == 0 ->
+        stepDown(i) }
 #ifdef MUTANT_RELEASE_KEEPS_TERM_AT_HOLDER
     /* Holds the released term again and sends heartbeats with it. */
     :: d_step { state[i] == IDLE && release_term > 0 && term[i] == release_term &&
@@ -482,7 +488,8 @@
     /* C3: reads the record back after a lost response. */
     :: d_step { unconfirmed_write[i] != 0 && platform_up ->
         unconfirmed_write[i] = 0; adoptRecord(i, current) }
-    /* Learns the newest record by a pull from a peer, which also works while the platform is down. */
+    /* Learns the newest record by a pull from a peer, which also works while the platform is down.
+     * */
     :: d_step { known_version[i] < current && unconfirmed_write[i] == 0 -> adoptRecord(i, current) }
     /* A restart loses all state of the instance. */
     :: d_step { ALLOW_INSTANCE_RESTART && MAY_RESTART && !any_instance_restarted &&
@@ -504,7 +511,8 @@
 /* The platform, and the coordinator of the service. */
 proctype platform() {
     do
-    /* The write whose response was lost takes effect, or is refused because the record has changed. */
+    /* The write whose response was lost takes effect, or is refused because the record has changed.
+     * */
     :: d_step { pending_kind != 0 && platform_up ->
         applyWrite(pending_kind, pending_base, pending_witnesses, pending_owner, pending_term);
         pending_kind = 0; pending_base = 0; pending_witnesses = 0; pending_owner = 0;
@@ -530,7 +538,8 @@
         IN_CURRENT_INCARNATION(WITNESSES_WITH_SPARE), INSTANCE_ID(0))
     COORDINATOR_WRITE(MAY_RECOVER, WRITE_RECOVERY,
         IN_CURRENT_INCARNATION(WITNESSES_WITH_SPARE), INSTANCE_ID(1))
-    /* Only the new set has lost its majority: it is replaced, and the previous set stays in force. */
+    /* Only the new set has lost its majority: it is replaced, and the previous set stays in force.
+     * */
 #define MAY_REPLACE_NEW_SET (previous_witnesses[current] != 0 && !MAJORITY_LOST(current) && \
     IS_MAJORITY(record_witnesses[current] & DEAD_WITNESSES) && \
     record_term[current] <= MAX_TERM_BEFORE_RECOVERY)
--- a/model/ownership_bounds.pml
+++ b/model/ownership_bounds.pml
@@ -82,8 +82,8 @@
 #ifndef ALLOW_INSTANCE_RESTART
 #define ALLOW_INSTANCE_RESTART 1
 #endif
-/* The highest term before a recovery, and the term step of rule R3. The step has to exceed the number
- * of terms that may be in use above the recorded term. */
+/* The highest term before a recovery, and the term step of rule R3. The step has to exceed the
+ * number of terms that may be in use above the recorded term. */
 #ifdef RECOVERY
 #ifndef MAX_TERM_BEFORE_RECOVERY
 #define MAX_TERM_BEFORE_RECOVERY 2
--- a/model/ownership_checks.pml
+++ b/model/ownership_checks.pml
@@ -1,6 +1,6 @@
-/* Properties that are checked whenever instance i dispatches a request to its upstream. The assertions
- * of the REACH_* checks are negated: Spin has to violate them, which shows that the state is
- * reachable. */
+/* Properties that are checked whenever instance i dispatches a request to its upstream. The
+ * assertions of the REACH_* checks are negated: Spin has to violate them, which shows that the
+ * state is reachable. */
 inline checkDispatch(i) {
     assert(known_version[i] <= current);
 #ifdef REACH
--- a/model/ownership_symmetry.pml
+++ b/model/ownership_symmetry.pml
@@ -1,7 +1,7 @@
-/* Symmetry reduction. Witnesses that have the same role are interchangeable: all witnesses if there is
- * no spare, otherwise witnesses 0 and 1, because the spare may replace witness 2. SORT_WITNESSES sorts
- * them by their state, so that Spin explores one state of each set of permutations. The sets of
- * witnesses in records and acknowledgements are permuted in the same way. */
+/* Symmetry reduction. Witnesses that have the same role are interchangeable: all witnesses if there
+ * is no spare, otherwise witnesses 0 and 1, because the spare may replace witness 2. SORT_WITNESSES
+ * sorts them by their state, so that Spin explores one state of each set of permutations. The sets
+ * of witnesses in records and acknowledgements are permuted in the same way. */
 
 /* The state of witness w as a number: the version, term, holder and lease have 3 bits each, and the
  * acknowledgements of each instance have 5 bits (mask BOTH_INCARNATIONS). The key leaves out
@@ -26,9 +26,9 @@
         (((set >> a) & BOTH_INCARNATIONS) << b) | (((set >> b) & BOTH_INCARNATIONS) << a);
 #define SWAP_SETS(version, a, b) \
     SWAP_BITS(record_witnesses[version], a, b) SWAP_BITS(previous_witnesses[version], a, b)
-/* Swaps witnesses a and b in all records that may be written and in the pending write. Version 1 names
- * all interchangeable witnesses, so a swap does not change it; nor do swaps change any version in
- * FAILOVER, where the sets of witnesses stay the same. */
+/* Swaps witnesses a and b in all records that may be written and in the pending write. Version 1
+ * names all interchangeable witnesses, so a swap does not change it; nor do swaps change any
+ * version in FAILOVER, where the sets of witnesses stay the same. */
 #ifdef FAILOVER
 #define SWAP_RECORDS(a, b)
 #else
