--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -42,8 +42,7 @@
 /* The version of the team's document, and for each version whether the document is valid. */
 byte document = 1;
 bool valid[MAX_VERSION + 1];
-/* The version of the accepted copy, and for each version the document version it was copied from.
- * */
+/* The version of the accepted copy, and for each version the document version that was copied. */
 byte accepted = 1;
 byte source_version[MAX_VERSION + 1];
 
--- a/model/ownership.pml
+++ b/model/ownership.pml
@@ -187,8 +187,8 @@
 #define TERM_OPEN(w) (!witness_released[w])
 #endif
 
-/* W3 (first branch) and W4 (second branch). Sets `accepted` if the witness acknowledges the round.
- * */
+/* W3 (first branch) and W4 (second branch). Sets `accepted` if the witness acknowledges the
+ * round. */
 inline handleRound(w, kind, id, round_term, version) {
     accepted = false;
     if
@@ -488,8 +488,7 @@
     /* C3: reads the record back after a lost response. */
     :: d_step { unconfirmed_write[i] != 0 && platform_up ->
         unconfirmed_write[i] = 0; adoptRecord(i, current) }
-    /* Learns the newest record by a pull from a peer, which also works while the platform is down.
-     * */
+    /* Learns the newest record by a pull from a peer, which also works during an outage. */
     :: d_step { known_version[i] < current && unconfirmed_write[i] == 0 -> adoptRecord(i, current) }
     /* A restart loses all state of the instance. */
     :: d_step { ALLOW_INSTANCE_RESTART && MAY_RESTART && !any_instance_restarted &&
@@ -511,8 +510,7 @@
 /* The platform, and the coordinator of the service. */
 proctype platform() {
     do
-    /* The write whose response was lost takes effect, or is refused because the record has changed.
-     * */
+    /* The pending write takes effect, or is refused because the record has changed. */
     :: d_step { pending_kind != 0 && platform_up ->
         applyWrite(pending_kind, pending_base, pending_witnesses, pending_owner, pending_term);
         pending_kind = 0; pending_base = 0; pending_witnesses = 0; pending_owner = 0;
@@ -538,8 +536,7 @@
         IN_CURRENT_INCARNATION(WITNESSES_WITH_SPARE), INSTANCE_ID(0))
     COORDINATOR_WRITE(MAY_RECOVER, WRITE_RECOVERY,
         IN_CURRENT_INCARNATION(WITNESSES_WITH_SPARE), INSTANCE_ID(1))
-    /* Only the new set has lost its majority: it is replaced, and the previous set stays in force.
-     * */
+    /* Only the new set has lost its majority: it is replaced, and the previous set remains. */
 #define MAY_REPLACE_NEW_SET (previous_witnesses[current] != 0 && !MAJORITY_LOST(current) && \
     IS_MAJORITY(record_witnesses[current] & DEAD_WITNESSES) && \
     record_term[current] <= MAX_TERM_BEFORE_RECOVERY)
