--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -73,17 +73,20 @@
 
 hidden byte scratch;
 
+/* Versions only move forward. */
 #ifdef MUTANT_VERSIONS_MOVE_BACK
 #define IS_NEWER(d, x) true
 #else
 #define IS_NEWER(d, x) (x > version[d])
 #endif
+/* Whether a starting daemon has reached the minimum version that a peer returned. */
 #ifdef MUTANT_NO_MINIMUM_VERSION
 #define MEETS_MINIMUM(d, x) true
 #else
 #define MEETS_MINIMUM(d, x) (version[d] >= x)
 #endif
 
+/* Raises the lowest version that daemon d may enforce to x. */
 #define RAISE_MINIMUM(d, x) \
     if :: min_enforceable[d] < x -> min_enforceable[d] = x :: else fi
 /* Recomputes what daemon e may enforce if it is starting: only the versions that its peers remember
@@ -97,12 +100,14 @@
     :: else \
     fi;
 
+/* Checks the properties of the version that daemon d enforces from now on. */
 inline enforce(d) {
     assert(version[d] >= min_enforceable[d]);
     assert(valid[source_version[version[d]]]);
     min_enforceable[d] = version[d]
 }
 
+/* Adopts a received version if it is newer. */
 inline receive(d, received_version) {
     if
     :: IS_NEWER(d, received_version) ->
@@ -121,6 +126,7 @@
 #else
 #define EDIT_PERMITTED(o) (read_version[o] == document)
 #endif
+/* Writes a new version of the document, valid or not, by conditional update. */
 #define EDIT(is_valid) \
     :: d_step { platform_up && EDIT_PERMITTED(o) && document < MAX_VERSION -> \
         assert(read_version[o] == document); /* otherwise the other operator's change is lost */ \
--- a/model/ownership.pml
+++ b/model/ownership.pml
@@ -56,7 +56,8 @@
 #define RESTARTED_WITNESSES (witness_incarnation[0] | (witness_incarnation[1] << 1) | \
     (witness_incarnation[2] << 2) | (witness_incarnation[3] << 3))
 
-/* The platform keeps every version of the record; the arrays are indexed by version. */
+/* The record at the platform. The model keeps all its versions, so that the arrays are indexed by
+ * version. */
 byte current = 1;  /* newest version */
 byte record_owner[MAX_VERSION + 1], record_term[MAX_VERSION + 1],
     record_witnesses[MAX_VERSION + 1], previous_witnesses[MAX_VERSION + 1],
@@ -164,7 +165,8 @@
     ((record_witnesses[version] | previous_witnesses[version]) & WITNESS_BIT(w))
 #endif
 
-/* W2 */
+/* W2: a witness refuses record versions below the highest one that it has seen, and adopts higher
+ * ones. */
 #ifdef MUTANT_NO_VERSION_ADOPTION
 #define VERSION_ACCEPTABLE(w, version) true
 #define ADOPT_VERSION(w, version) skip
@@ -218,7 +220,7 @@
         if :: accepted -> acks[i] = acks[i] | NAMED_WITNESS(w, known_version[i]) :: else fi; \
         SORT_WITNESSES }
 
-/* W5 */
+/* W5: a release ends the lease if its holder and term are the current ones. */
 #define RECEIVE_RELEASE(w) \
     :: d_step { release_term != 0 && NAMED_WITNESS(w, release_version) && \
         VERSION_ACCEPTABLE(w, release_version) -> \
@@ -238,8 +240,8 @@
     RECEIVE_ROUND(w, 2)
 #endif
     RECEIVE_RELEASE(w)
-    /* Receives the delayed round, which may be outdated; the sender no longer counts its
-     * acknowledgement. */
+    /* Receives the delayed round. The acknowledgement is not counted, because the sender may have
+     * replaced the round. */
     :: d_step { delayed_kind != NO_ROUND && NAMED_WITNESS(w, delayed_version) &&
         VERSION_ACCEPTABLE(w, delayed_version) ->
         handleRound(w, delayed_kind, delayed_sender, delayed_term, delayed_version);
@@ -265,12 +267,15 @@
 
 #include "ownership_checks.pml"
 
+/* From now on, no acknowledgement of the last round is counted. */
 inline discardRound(i) { round_kind[i] = NO_ROUND; round_age[i] = MAX_LEASE; acks[i] = 0 }
 
+/* Gives up a claim or a lease. */
 inline stepDown(i) {
     state[i] = IDLE; lease_left[i] = 0; version_confirmed[i] = false; discardRound(i)
 }
 
+/* Sends a release to all witnesses and steps down. */
 inline release(i) {
     release_term = term[i]; release_version = known_version[i]; release_holder = INSTANCE_ID(i);
     stepDown(i)
@@ -364,6 +369,7 @@
         delayWrite(kind, known_version[i], new_witnesses, INSTANCE_ID(i), term[i]); \
         LOST_RESPONSE(i, kind) }
 
+/* Keeps a write whose response was lost, so that the platform applies it at any later time. */
 inline delayWrite(kind, base, new_witnesses, new_owner, writer_term) {
     faults++;
     pending_kind = kind; pending_base = base; pending_witnesses = new_witnesses;
@@ -384,6 +390,8 @@
 #define BOTH_MAJORITIES(i) version_confirmed[i]
 #endif
 
+/* R2: only the owner that holds the lease changes the witnesses, and the model changes only the
+ * initial ones. */
 #define MAY_CHANGE_WITNESSES(i) (ALLOW_WITNESS_CHANGES && OWNER_WITH_LEASE(i) && \
     previous_witnesses[known_version[i]] == 0 && \
     record_witnesses[known_version[i]] == INITIAL_WITNESSES)
@@ -420,6 +428,8 @@
     record_term[known_version[i]] : term[i] + 1)
 #define STANDBY_CLAIM_TERM(i) ((term[i] < record_term[known_version[i]] -> \
     record_term[known_version[i]] : term[i]) + 1)
+/* Sends a claim. The term is bounded by MAX_TERM_BEFORE_RECOVERY until the recorded term exceeds
+ * this bound. */
 #define START_CLAIM(i, guard, claim_term) \
     :: d_step { state[i] != HOLDING && unconfirmed_write[i] == 0 && (guard) && \
         claim_term <= (record_term[known_version[i]] > MAX_TERM_BEFORE_RECOVERY -> \
