--- a/src/persimmonrail/http/connection_pool.cpp
+++ b/src/persimmonrail/http/connection_pool.cpp
@@ -12,11 +12,11 @@
 namespace persimmonrail {
 namespace {
 
-// A silent connection is given up after about 3 s.
+// With these values, TCP closes an unresponsive connection after about 3 s.
 constexpr int keepAliveIdleSeconds = 1;
 constexpr int keepAliveIntervalSeconds = 1;
 constexpr int keepAliveProbes = 2;
-constexpr int unacknowledgedMs = 3000;
+constexpr int userTimeoutMs = 3000;
 
 void enableKeepAlive(Poco::Net::StreamSocket &socket)
 {
@@ -24,7 +24,7 @@
     socket.setOption(IPPROTO_TCP, TCP_KEEPIDLE, keepAliveIdleSeconds);
     socket.setOption(IPPROTO_TCP, TCP_KEEPINTVL, keepAliveIntervalSeconds);
     socket.setOption(IPPROTO_TCP, TCP_KEEPCNT, keepAliveProbes);
-    socket.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledgedMs);
+    socket.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT, userTimeoutMs);
 }
 
 } // namespace
@@ -33,13 +33,14 @@
     : m_options(options)
 { }
 
-// Returns null if no connection to the address became idle after `since`.
-std::unique_ptr<http_stream> connection_pool::takeIdle(const std::string &address,
-                                                       steady_time since)
+// Removes and returns the connection to the address that became idle last, or null if none became
+// idle after `idleSince`.
+std::unique_ptr<http_stream> connection_pool::acquireIdle(const std::string &address,
+                                                          steady_time idleSince)
 {
     const std::lock_guard lock(m_mutex);
     const auto entry = m_byAddress.find(address);
-    if (entry == m_byAddress.end() || entry->second.back()->since <= since) {
+    if (entry == m_byAddress.end() || entry->second.back()->idleSince <= idleSince) {
         return nullptr;
     }
     const idle_list::iterator newest = entry->second.back();
@@ -57,9 +58,11 @@
                                                                      steady_time now,
                                                                      steady_time until)
 {
-    const steady_time since = now - (repeatable ? m_options.idleTime : m_options.freshTime);
-    while (std::unique_ptr<http_stream> stream = takeIdle(address, since)) {
-        // Bytes without a request belong to no exchange; such a connection is unusable.
+    const steady_time idleSince =
+        now - (repeatable ? m_options.idleTime : m_options.nonRepeatableIdleTimeout);
+    while (std::unique_ptr<http_stream> stream = acquireIdle(address, idleSince)) {
+        // A connection with input was closed by its peer, or holds bytes that belong to no
+        // exchange, and can't be reused.
         if (!stream->hasInput()) {
             return connection{address, std::move(stream), true};
         }
@@ -70,15 +73,15 @@
 absl::StatusOr<connection_pool::connection> connection_pool::connect(const std::string &address,
                                                                      steady_time until)
 {
-    const auto left =
+    const auto remaining =
         std::chrono::duration_cast<std::chrono::microseconds>(std::min<std::chrono::nanoseconds>(
             until - std::chrono::steady_clock::now(), m_options.connectTime));
-    if (left.count() <= 0) {
+    if (remaining.count() <= 0) {
         return absl::UnavailableError("deadline passed before connecting");
     }
     try {
         Poco::Net::StreamSocket socket;
-        socket.connect(Poco::Net::SocketAddress(address), Poco::Timespan(left.count()));
+        socket.connect(Poco::Net::SocketAddress(address), Poco::Timespan(remaining.count()));
         if (m_options.keepAlive) {
             enableKeepAlive(socket);
         }
@@ -90,7 +93,7 @@
     }
 }
 
-void connection_pool::closeOldest()
+void connection_pool::closeLongestIdle()
 {
     const auto entry = m_byAddress.find(m_idle.front().address);
     entry->second.pop_front();
@@ -102,18 +105,18 @@
 
 void connection_pool::release(connection connection, steady_time now)
 {
-    connection.stream->watch(nullptr);
+    connection.stream->watchForClose(nullptr);
     connection.stream->releaseBuffer();
     const std::lock_guard lock(m_mutex);
     while (!m_idle.empty()
            && (m_idle.size() >= m_options.maxIdle
-               || m_idle.front().since <= now - m_options.idleTime)) {
-        closeOldest();
+               || m_idle.front().idleSince <= now - m_options.idleTime)) {
+        closeLongestIdle();
     }
-    auto &known = m_byAddress[connection.address];
-    if (known.size() < m_options.maxIdlePerAddress) {
+    auto &idleAtAddress = m_byAddress[connection.address];
+    if (idleAtAddress.size() < m_options.maxIdlePerAddress) {
         m_idle.push_back({connection.address, std::move(connection.stream), now});
-        known.push_back(std::prev(m_idle.end()));
+        idleAtAddress.push_back(std::prev(m_idle.end()));
     }
 }
 
--- a/src/persimmonrail/http/http_body.cpp
+++ b/src/persimmonrail/http/http_body.cpp
@@ -17,32 +17,34 @@
 constexpr size_t maxChunkLineBytes = 1024;
 constexpr size_t maxTrailerBytes = 8 * 1024;
 
-// Reads the framing fields. Messages with both fields, repeated ones or unknown codings are refused
-// rather than interpreted, because two hops could then disagree about where the body ends.
-io_status explicitFraming(const Poco::Net::HTTPMessage &message, body_framing &framing)
+// Sets `framing` according to Content-Length or Transfer-Encoding, and leaves it unchanged without
+// these fields. Returns Malformed for messages with both fields, repeated fields or unknown
+// codings, because two hops could interpret such messages differently and disagree about the end of
+// the body.
+io_status parseFramingFields(const Poco::Net::HTTPMessage &message, body_framing &framing)
 {
-    int lengths = 0;
-    int codings = 0;
+    int lengthCount = 0;
+    int codingCount = 0;
     std::string length;
     std::string coding;
     for (const auto &[name, value] : message) {
         if (Poco::icompare(name, Poco::Net::HTTPMessage::CONTENT_LENGTH) == 0) {
-            ++lengths;
+            ++lengthCount;
             length = value;
         } else if (Poco::icompare(name, Poco::Net::HTTPMessage::TRANSFER_ENCODING) == 0) {
-            ++codings;
+            ++codingCount;
             coding = value;
         }
     }
-    if (lengths + codings > 1) {
+    if (lengthCount + codingCount > 1) {
         return io_status::Malformed;
     }
-    if (codings == 1) {
+    if (codingCount == 1) {
         if (Poco::icompare(coding, "chunked") != 0) {
             return io_status::Malformed;
         }
         framing = {body_framing::kind::Chunked, 0};
-    } else if (lengths == 1) {
+    } else if (lengthCount == 1) {
         uint64_t value = 0;
         const char *const end = length.data() + length.size();
         const auto parsed = std::from_chars(length.data(), end, value);
@@ -54,29 +56,30 @@
     return io_status::Ok;
 }
 
-bool hasControl(absl::string_view text)
+bool hasControlCharacter(absl::string_view text)
 {
     return std::any_of(text.begin(), text.end(), [](char c) {
         return (static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f;
     });
 }
 
-// Splits a head into its first line and its fields. Poco's own parser is not used: it decodes
-// encoded words (RFC 2047) in field values, which lets a value smuggle in line endings and with
-// them further fields, and it accepts control characters that other servers read differently.
+// Splits a head into its first line and its fields. Returns false if the head is malformed. Poco's
+// own parser is not used, because Poco decodes encoded words (RFC 2047) in field values, so that a
+// value can inject line endings and further fields. Poco also accepts control characters that other
+// servers interpret differently.
 bool splitHead(const std::string &head, std::string &firstLine, Poco::Net::HTTPMessage &message)
 {
-    bool first = true;
+    bool isFirstLine = true;
     for (absl::string_view line : absl::StrSplit(head, '\n')) {
         if (!line.empty() && line.back() == '\r') {
             line.remove_suffix(1);
         }
-        if (hasControl(line)) {
+        if (hasControlCharacter(line)) {
             return false;
         }
-        if (first) {
+        if (isFirstLine) {
             firstLine = std::string(line);
-            first = false;
+            isFirstLine = false;
             continue;
         }
         if (line.empty()) {
@@ -104,38 +107,38 @@
 body_reader::body_reader(http_stream &stream, body_framing framing)
     : m_stream(stream)
     , m_framing(framing)
-    , m_left(framing.type == body_framing::kind::Length ? framing.length : 0)
-    , m_complete(framing.type == body_framing::kind::None
-                 || (framing.type == body_framing::kind::Length && framing.length == 0))
+    , m_remaining(framing.type == body_framing::kind::Length ? framing.length : 0)
+    , m_isComplete(framing.type == body_framing::kind::None
+                   || (framing.type == body_framing::kind::Length && framing.length == 0))
 { }
 
 io_status body_reader::read(std::string &piece, steady_time until)
 {
     piece.clear();
-    if (m_complete) {
+    if (m_isComplete) {
         return io_status::Ok;
     }
-    if (m_framing.type == body_framing::kind::Chunked && m_left == 0) {
+    if (m_framing.type == body_framing::kind::Chunked && m_remaining == 0) {
         const io_status status = readChunkHeader(until);
-        if (status != io_status::Ok || m_complete) {
+        if (status != io_status::Ok || m_isComplete) {
             return status;
         }
     }
     const bool isBounded = m_framing.type != body_framing::kind::UntilClose;
     const size_t capacity = isBounded
-        ? static_cast<size_t>(std::min<uint64_t>(m_left, bodyPieceBytes))
+        ? static_cast<size_t>(std::min<uint64_t>(m_remaining, bodyPieceBytes))
         : bodyPieceBytes;
     piece.resize(capacity);
     size_t count = 0;
     const io_status status = m_stream.readSome(piece.data(), capacity, count, until);
     piece.resize(count);
-    if (status == io_status::Closed && !isBounded && m_stream.endedInOrder()) {
-        m_complete = true;
+    if (status == io_status::Closed && !isBounded && m_stream.wasClosedGracefully()) {
+        m_isComplete = true;
         return io_status::Ok;
     }
     if (status == io_status::Ok && isBounded) {
-        m_left -= count;
-        m_complete = m_left == 0 && m_framing.type == body_framing::kind::Length;
+        m_remaining -= count;
+        m_isComplete = m_remaining == 0 && m_framing.type == body_framing::kind::Length;
     }
     return status;
 }
@@ -143,8 +146,8 @@
 io_status body_reader::readChunkHeader(steady_time until)
 {
     std::string line;
-    if (m_inChunk) {
-        // The line ending after the previous chunk.
+    if (m_isInChunk) {
+        // Reads the line ending after the previous chunk.
         const io_status status = m_stream.readLine(line, maxChunkLineBytes, until);
         if (status != io_status::Ok) {
             return status;
@@ -152,7 +155,7 @@
         if (!line.empty()) {
             return io_status::Malformed;
         }
-        m_inChunk = false;
+        m_isInChunk = false;
     }
     if (const io_status status = m_stream.readLine(line, maxChunkLineBytes, until);
         status != io_status::Ok) {
@@ -161,16 +164,16 @@
     uint64_t size = 0;
     const char *const end = line.data() + line.size();
     const auto parsed = std::from_chars(line.data(), end, size, 16);
-    const bool isFollowedWell =
+    const bool isDelimited =
         parsed.ptr == end || *parsed.ptr == ';' || *parsed.ptr == ' ' || *parsed.ptr == '\t';
-    if (parsed.ec != std::errc() || !isFollowedWell) {
+    if (parsed.ec != std::errc() || !isDelimited) {
         return io_status::Malformed;
     }
     if (size == 0) {
         return readTrailers(until);
     }
-    m_left = size;
-    m_inChunk = true;
+    m_remaining = size;
+    m_isInChunk = true;
     return io_status::Ok;
 }
 
@@ -188,7 +191,7 @@
             return io_status::Malformed;
         }
     } while (!line.empty());
-    m_complete = true;
+    m_isComplete = true;
     return io_status::Ok;
 }
 
@@ -250,7 +253,7 @@
     const auto hosts = std::count_if(request.begin(), request.end(), [](const auto &field) {
         return Poco::icompare(field.first, Poco::Net::HTTPRequest::HOST) == 0;
     });
-    return hosts == 1 ? explicitFraming(request, framing) : io_status::Malformed;
+    return hosts == 1 ? parseFramingFields(request, framing) : io_status::Malformed;
 }
 
 io_status responseFraming(const Poco::Net::HTTPResponse &response, const std::string &method,
@@ -262,7 +265,7 @@
         return io_status::Ok;
     }
     framing = {body_framing::kind::UntilClose, 0};
-    return explicitFraming(response, framing);
+    return parseFramingFields(response, framing);
 }
 
 void setFraming(Poco::Net::HTTPMessage &message, const body_framing &framing)
--- a/src/persimmonrail/http/http_client.cpp
+++ b/src/persimmonrail/http/http_client.cpp
@@ -6,11 +6,12 @@
 namespace persimmonrail {
 namespace {
 
+// Maximum number of interim and mismatched responses before the response to a request.
 constexpr int maxInterimResponses = 8;
-// Detail of an exchange that `sendBefore` prevented.
-constexpr char leaseEnding[] = "lease ending";
+// Detail of an exchange that `sendBefore` prevented or `abandonAt` ended.
+constexpr char leaseEndingDetail[] = "the lease has ended or is about to end";
 
-// One attempt on one connection.
+// One attempt to exchange a request and its response on one connection.
 class attempt
 {
 public:
@@ -19,23 +20,26 @@
         , m_stream(stream)
         , m_sink(sink)
     {
-        m_stream.watch(request.caller);
+        m_stream.watchForClose(request.caller);
     }
 
+    // Runs the attempt. Call run() once.
     exchange_result run()
     {
-        m_stream.watch(m_request.caller);
-        if (sendHead() && waitContinue() && sendBody() && readHead()) {
+        m_stream.watchForClose(m_request.caller);
+        if (sendHead() && waitForContinue() && sendBody() && readHead()) {
             readBody();
         }
-        m_result.anySent = m_anySent;
+        m_result.anySent = m_hasSentBytes;
         return std::move(m_result);
     }
-    bool anyReceived() const { return m_anyReceived; }
-    // Whether another exchange may follow on the connection.
-    bool isReusable() const { return m_reusable; }
+    // Whether a response head arrived, including interim and mismatched ones.
+    bool hasReceivedHead() const { return m_hasReceivedHead; }
+    // Whether the connection can be reused for another exchange.
+    bool isReusable() const { return m_isReusable; }
 
 private:
+    // Sets the state and detail of the result. Returns false.
     bool fail(exchange_state state, std::string detail)
     {
         m_result.state = state;
@@ -43,33 +47,36 @@
         return false;
     }
 
-    // Waits in steps of the progress timeout, asking the probe at the end of each.
-    template <typename operation> io_status withProgress(operation run)
+    // Runs `operation` until the deadline, and calls the probe after each progress timeout. Returns
+    // TimedOut with m_isSilent set if the probe succeeds while this connection has no input.
+    template <typename io_operation> io_status runWithProgressTimeout(io_operation operation)
     {
-        const bool limited = m_request.progressTimeout.count() > 0 && m_request.probe;
-        steady_time silentAt = limited
+        const bool hasProgressTimeout = m_request.progressTimeout.count() > 0 && m_request.probe;
+        steady_time progressDeadline = hasProgressTimeout
             ? std::chrono::steady_clock::now() + m_request.progressTimeout
             : steady_time::max();
         for (;;) {
-            const steady_time until = std::min(m_request.deadline, silentAt);
-            const io_status status = untilAbandoned(until, run);
+            const steady_time until = std::min(m_request.deadline, progressDeadline);
+            const io_status status = runUntilAbandoned(until, operation);
             if (status != io_status::TimedOut || m_abandoned || until >= m_request.deadline) {
                 return status;
             }
-            // An answer that arrived while the probe ran ends the silence.
+            // A response that arrived while the probe ran counts as progress.
             if (m_request.probe() && !m_stream.hasInput()) {
-                m_silent = true;
+                m_isSilent = true;
                 return status;
             }
-            silentAt = std::chrono::steady_clock::now() + m_request.progressTimeout;
+            progressDeadline = std::chrono::steady_clock::now() + m_request.progressTimeout;
         }
     }
 
-    // Runs an operation until `until`, in steps that end when the exchange may have to be given up.
-    template <typename operation> io_status untilAbandoned(steady_time until, operation run)
+    // Runs `operation` until `until`. Returns TimedOut with m_abandoned set if the time of
+    // `abandonAt`, which is read again at the end of each step, is reached first.
+    template <typename io_operation>
+    io_status runUntilAbandoned(steady_time until, io_operation operation)
     {
         if (!m_request.abandonAt) {
-            return run(until);
+            return operation(until);
         }
         for (;;) {
             const steady_time abandonAt = m_request.abandonAt();
@@ -77,7 +84,7 @@
                 m_abandoned = true;
                 return io_status::TimedOut;
             }
-            const io_status status = run(std::min(until, abandonAt));
+            const io_status status = operation(std::min(until, abandonAt));
             if (status != io_status::TimedOut || until <= abandonAt
                 || std::chrono::steady_clock::now() < abandonAt) {
                 return status;
@@ -85,46 +92,52 @@
         }
     }
 
-    bool failIo(io_status status, exchange_state closedState)
+    // Sets the result for an operation on the connection that failed with `status`. Returns false.
+    bool failIo(io_status status, exchange_state stateIfClosed)
     {
         switch (status) {
         case io_status::TimedOut:
             if (m_abandoned) {
                 m_result.leaseEnding = true;
-                return fail(closedState == exchange_state::NotSent ? closedState
-                                                                   : exchange_state::Abandoned,
-                            leaseEnding);
+                return fail(stateIfClosed == exchange_state::NotSent ? stateIfClosed
+                                                                     : exchange_state::Abandoned,
+                            leaseEndingDetail);
             }
-            m_result.deadlinePassed = !m_silent;
-            return m_silent ? fail(exchange_state::Silent, "connection without progress")
-                            : fail(exchange_state::TimedOut, "deadline passed");
+            m_result.deadlinePassed = !m_isSilent;
+            return m_isSilent
+                ? fail(exchange_state::Silent,
+                       "connection made no progress while a new connection to the peer responded")
+                : fail(exchange_state::TimedOut, "deadline passed");
         case io_status::Cancelled:
             return fail(exchange_state::CallerDisconnected, "caller disconnected");
         default:
-            return fail(closedState, std::string(toString(status)));
+            return fail(stateIfClosed, std::string(toString(status)));
         }
     }
 
+    // Sends all bytes, or stops early if the peer responds first. Returns false if the attempt
+    // failed.
     bool send(std::string_view bytes)
     {
-        while (!bytes.empty() && !m_earlyResponse) {
+        while (!bytes.empty() && !m_hasEarlyResponse) {
             size_t written = 0;
-            const io_status status = withProgress([&](steady_time until) {
-                size_t part = 0;
-                const io_status result = m_stream.write(bytes.substr(written), part, until, true);
-                written += part;
+            const io_status status = runWithProgressTimeout([&](steady_time until) {
+                size_t count = 0;
+                const io_status result = m_stream.write(bytes.substr(written), count, until, true);
+                written += count;
                 return result;
             });
-            m_anySent = m_anySent || written > 0;
+            m_hasSentBytes = m_hasSentBytes || written > 0;
             if (status != io_status::Ok) {
-                // The peer may have answered before it closed its side.
-                m_reusable = false;
-                m_earlyResponse = status == io_status::Closed && m_stream.hasInput();
-                return m_earlyResponse
+                // The peer may have responded before it closed the connection.
+                m_isReusable = false;
+                m_hasEarlyResponse = status == io_status::Closed && m_stream.hasInput();
+                return m_hasEarlyResponse
                     || failIo(status,
-                              m_anySent ? exchange_state::NoResponse : exchange_state::NotSent);
+                              m_hasSentBytes ? exchange_state::NoResponse
+                                             : exchange_state::NotSent);
             }
-            m_earlyResponse = written < bytes.size();
+            m_hasEarlyResponse = written < bytes.size();
             bytes.remove_prefix(written);
         }
         return true;
@@ -152,7 +165,7 @@
         }
         if (m_request.sendBefore && now >= m_request.sendBefore()) {
             m_result.leaseEnding = true;
-            return fail(exchange_state::NotSent, leaseEnding);
+            return fail(exchange_state::NotSent, leaseEndingDetail);
         }
         return send(text.str());
     }
@@ -162,16 +175,16 @@
         return m_request.expectContinue && m_framing.type != body_framing::kind::None;
     }
 
-    // Waits until the peer asks for the body or answers without it.
-    bool waitContinue()
+    // Waits until the peer asks for the body or responds without it.
+    bool waitForContinue()
     {
-        if (!expectsContinue() || m_earlyResponse) {
+        if (!expectsContinue() || m_hasEarlyResponse) {
             return true;
         }
         if (!readOneHead()) {
             return false;
         }
-        m_earlyResponse = m_hasFinalHead = m_result.head.getStatus() >= 200;
+        m_hasEarlyResponse = m_hasFinalHead = m_result.head.getStatus() >= 200;
         return true;
     }
 
@@ -180,27 +193,27 @@
         if (m_framing.type == body_framing::kind::None) {
             return true;
         }
-        const bool chunked = m_framing.type == body_framing::kind::Chunked;
+        const bool isChunked = m_framing.type == body_framing::kind::Chunked;
         std::string piece;
-        while (!m_earlyResponse) {
-            const io_status status = untilAbandoned(m_request.deadline, [&](steady_time until) {
+        while (!m_hasEarlyResponse) {
+            const io_status status = runUntilAbandoned(m_request.deadline, [&](steady_time until) {
                 return m_request.body->read(piece, until);
             });
             if (status != io_status::Ok) {
-                m_reusable = false;
+                m_isReusable = false;
                 if (m_abandoned) {
-                    return fail(exchange_state::Abandoned, leaseEnding);
+                    return fail(exchange_state::Abandoned, leaseEndingDetail);
                 }
                 return status == io_status::TimedOut
-                    ? fail(exchange_state::TimedOut, "request body incomplete at the deadline")
+                    ? fail(exchange_state::TimedOut, "request body was incomplete at the deadline")
                     : fail(status == io_status::Malformed ? exchange_state::BadRequestBody
                                                           : exchange_state::CallerDisconnected,
-                           "request body broke off");
+                           "request body is incomplete or malformed");
             }
             if (piece.empty()) {
-                return !chunked || send(lastChunk);
+                return !isChunked || send(lastChunk);
             }
-            if (!send(chunked ? frameChunk(piece) : piece)) {
+            if (!send(isChunked ? frameChunk(piece) : piece)) {
                 return false;
             }
         }
@@ -209,10 +222,10 @@
 
     bool readHead()
     {
-        // An answer that arrives before the request was sent completely leaves the connection in
-        // the middle of a request.
-        m_reusable = m_reusable && !m_earlyResponse;
-        for (int interim = 0; interim <= maxInterimResponses; ++interim) {
+        // After a response that arrives before the request was sent completely, the peer still
+        // expects the rest of the request on the connection.
+        m_isReusable = m_isReusable && !m_hasEarlyResponse;
+        for (int skipped = 0; skipped <= maxInterimResponses; ++skipped) {
             if (!m_hasFinalHead && !readOneHead()) {
                 return false;
             }
@@ -226,22 +239,22 @@
                 return false;
             }
         }
-        return fail(exchange_state::Truncated, "too many interim answers");
+        return fail(exchange_state::Truncated, "too many interim or mismatched responses");
     }
 
-    // Reads past an answer to an earlier request. The one to this request may follow.
+    // Skips the body of a response to an earlier request. The response to this request may follow.
     bool skipMismatchedResponse()
     {
-        m_reusable = false;
+        m_isReusable = false;
         m_hasFinalHead = false;
         if (m_responseFraming.type == body_framing::kind::UntilClose) {
-            return fail(exchange_state::Truncated, "answer to another request");
+            return fail(exchange_state::Truncated, "unframed response to another request");
         }
         body_reader reader(m_stream, m_responseFraming);
         std::string piece;
         while (!reader.isComplete()) {
-            const io_status status =
-                withProgress([&](steady_time until) { return reader.read(piece, until); });
+            const io_status status = runWithProgressTimeout(
+                [&](steady_time until) { return reader.read(piece, until); });
             if (status != io_status::Ok) {
                 return failIo(status, exchange_state::NoResponse);
             }
@@ -249,30 +262,32 @@
         return true;
     }
 
+    // Reads the next response head, which may be interim, and determines the framing of its body.
     bool readOneHead()
     {
         std::string text;
-        const io_status status =
-            withProgress([&](steady_time until) { return m_stream.readHead(text, until); });
-        m_anyReceived = m_anyReceived || status == io_status::Ok;
+        const io_status status = runWithProgressTimeout(
+            [&](steady_time until) { return m_stream.readHead(text, until); });
+        m_hasReceivedHead = m_hasReceivedHead || status == io_status::Ok;
         if (status != io_status::Ok) {
-            return failIo(status, m_anySent ? exchange_state::NoResponse : exchange_state::NotSent);
+            return failIo(status,
+                          m_hasSentBytes ? exchange_state::NoResponse : exchange_state::NotSent);
         }
         return (parseResponse(text, m_result.head) == io_status::Ok
                 && responseFraming(m_result.head, m_request.message.getMethod(), m_responseFraming)
                     == io_status::Ok)
-            || fail(exchange_state::Truncated, "malformed answer head");
+            || fail(exchange_state::Truncated, "malformed response head");
     }
 
     bool acceptHead()
     {
         if (m_responseFraming.type == body_framing::kind::UntilClose) {
             if (!m_request.acceptsUnframed) {
-                return fail(exchange_state::Truncated, "answer without framing");
+                return fail(exchange_state::Truncated, "response without framing");
             }
-            m_reusable = false;
+            m_isReusable = false;
         }
-        m_reusable = m_reusable && m_result.head.getKeepAlive();
+        m_isReusable = m_isReusable && m_result.head.getKeepAlive();
         m_declined = m_request.acceptsResponse && !m_request.acceptsResponse(m_result.head);
         removeConnectionFields(m_result.head);
         return true;
@@ -283,12 +298,12 @@
         body_reader reader(m_stream, m_responseFraming);
         std::string first;
         std::string piece;
-        bool begun = false;
+        bool hasBegun = false;
         while (!reader.isComplete()) {
-            const io_status status =
-                withProgress([&](steady_time until) { return reader.read(piece, until); });
+            const io_status status = runWithProgressTimeout(
+                [&](steady_time until) { return reader.read(piece, until); });
             if (status != io_status::Ok) {
-                m_reusable = false;
+                m_isReusable = false;
                 if (m_declined) {
                     m_result.state = exchange_state::Declined;
                 } else {
@@ -299,17 +314,17 @@
             if (m_declined) {
                 continue;
             }
-            if (begun) {
+            if (hasBegun) {
                 if (!piece.empty() && !m_sink.write(piece)) {
-                    return failSink();
+                    return failDisconnectedSink();
                 }
                 continue;
             }
             first += piece;
             if (first.size() >= bodyPieceBytes && !reader.isComplete()) {
-                begun = m_result.responseStarted = true;
-                if (!m_sink.begin(m_result.head, framingToPass(), first, false)) {
-                    return failSink();
+                hasBegun = m_result.responseStarted = true;
+                if (!m_sink.begin(m_result.head, forwardedFraming(), first, false)) {
+                    return failDisconnectedSink();
                 }
                 first.clear();
             }
@@ -319,24 +334,26 @@
             return;
         }
         m_result.responseStarted = true;
-        const bool taken =
-            begun ? m_sink.finish() : m_sink.begin(m_result.head, framingToPass(), first, true);
-        // The answer is whole even if its receiver is gone by now.
-        m_result.sinkGone = !taken;
+        const bool wasAccepted = hasBegun
+            ? m_sink.finish()
+            : m_sink.begin(m_result.head, forwardedFraming(), first, true);
+        // The response is complete even if its receiver has disconnected meanwhile.
+        m_result.sinkGone = !wasAccepted;
         m_result.state = exchange_state::Complete;
     }
 
-    // An answer without a length is passed on in chunks, whose end can't be mistaken.
-    body_framing framingToPass() const
+    // Returns the framing for the sink. A response that ends with its connection is forwarded in
+    // the chunked framing, in which a truncation is detectable.
+    body_framing forwardedFraming() const
     {
         return m_responseFraming.type == body_framing::kind::UntilClose
             ? body_framing{body_framing::kind::Chunked, 0}
             : m_responseFraming;
     }
 
-    void failSink()
+    void failDisconnectedSink()
     {
-        m_reusable = false;
+        m_isReusable = false;
         m_result.sinkGone = true;
         fail(exchange_state::CallerDisconnected, "caller disconnected");
     }
@@ -347,14 +364,14 @@
     body_framing m_framing;
     body_framing m_responseFraming;
     exchange_result m_result;
-    bool m_anySent = false;
-    bool m_anyReceived = false;
-    bool m_earlyResponse = false;
+    bool m_hasSentBytes = false;
+    bool m_hasReceivedHead = false;
+    bool m_hasEarlyResponse = false;
     bool m_hasFinalHead = false;
     bool m_declined = false;
-    bool m_silent = false;
+    bool m_isSilent = false;
     bool m_abandoned = false;
-    bool m_reusable = true;
+    bool m_isReusable = true;
 };
 
 } // namespace
@@ -392,19 +409,19 @@
 
 exchange_result http_client::exchange(const client_request &request, response_sink &sink)
 {
-    bool fresh = false;
-    bool sentEarlier = false;
-    // Once bytes of the request were sent, a later attempt that sends nothing does not make it
-    // certain that the request did not run.
-    const auto judge = [&sentEarlier](exchange_result result) {
-        result.anySent = result.anySent || sentEarlier;
-        if (sentEarlier && result.state == exchange_state::NotSent) {
+    bool needsNewConnection = false;
+    bool wasSentEarlier = false;
+    // If an earlier attempt sent bytes of the request, the request may have run, even if the last
+    // attempt sent nothing.
+    const auto withEarlierAttempts = [&wasSentEarlier](exchange_result result) {
+        result.anySent = result.anySent || wasSentEarlier;
+        if (wasSentEarlier && result.state == exchange_state::NotSent) {
             result.state = exchange_state::NoResponse;
         }
         return result;
     };
     for (;;) {
-        auto connection = fresh
+        auto connection = needsNewConnection
             ? m_pool->connect(request.address, request.deadline)
             : m_pool->acquire(request.address, request.repeatable, std::chrono::steady_clock::now(),
                               request.deadline);
@@ -414,27 +431,27 @@
             result.deadlinePassed = std::chrono::steady_clock::now() >= request.deadline;
             result.connectionRefused = absl::IsFailedPrecondition(connection.status());
             result.detail = std::string(connection.status().message());
-            return judge(std::move(result));
+            return withEarlierAttempts(std::move(result));
         }
         attempt current(request, *connection->stream, sink);
         exchange_result result = current.run();
-        const bool closedEarly = !current.anyReceived()
+        const bool wasClosedBeforeResponse = !current.hasReceivedHead()
             && (result.state == exchange_state::NotSent
                 || result.state == exchange_state::NoResponse);
-        const bool mayResend = !result.anySent || request.repeatable;
-        if (connection->reused && closedEarly && mayResend && !result.leaseEnding
+        const bool canResend = !result.anySent || request.repeatable;
+        if (connection->reused && wasClosedBeforeResponse && canResend && !result.leaseEnding
             && !result.deadlinePassed && (request.body == nullptr || request.body->rewind())) {
             m_pool->closeIdle(request.address);
-            fresh = true;
-            sentEarlier = result.anySent;
+            needsNewConnection = true;
+            wasSentEarlier = result.anySent;
             continue;
         }
-        const bool ended =
+        const bool isFinished =
             result.state == exchange_state::Complete || result.state == exchange_state::Declined;
-        if (ended && current.isReusable()) {
+        if (isFinished && current.isReusable()) {
             m_pool->release(std::move(*connection), std::chrono::steady_clock::now());
         }
-        return judge(std::move(result));
+        return withEarlierAttempts(std::move(result));
     }
 }
 
--- a/src/persimmonrail/http/http_client.h
+++ b/src/persimmonrail/http/http_client.h
@@ -17,24 +17,27 @@
 
 struct connection_pool_options
 {
+    // Maximum number of idle connections to one address.
     size_t maxIdlePerAddress = 32;
-    // Bounds the descriptors that idle connections take, whatever the number of peers; the
-    // connection that has been idle longest is closed first.
+    // Maximum number of idle connections to all addresses, which bounds the descriptors they use.
+    // The connection that has been idle longest is closed first.
     size_t maxIdle = 512;
-    // Well below the idle timeout of the servers (30 s), so that they rarely close first.
+    // Connections that have been idle for this time are not reused. The value is well below the
+    // idle timeout of the servers (30 s), so that a server rarely closes a connection first.
     milliseconds idleTime{10000};
-    // A request that may not be repeated takes a connection only if it has been idle for less than
-    // this: a crowded server closes connections after 1 s, and a request sent at that moment would
-    // end with an unknown outcome.
-    milliseconds freshTime{500};
-    // A connection that takes longer to be made counts as unreachable; within one region a connect
-    // takes a few milliseconds.
+    // A request that may not be repeated reuses only connections that have been idle for less than
+    // this time. A crowded server closes idle connections after 1 s, and a request sent at that
+    // moment would end with an unknown outcome.
+    milliseconds nonRepeatableIdleTimeout{500};
+    // Timeout for establishing a connection, after which the address counts as unreachable. Within
+    // one region, connecting takes a few milliseconds.
     milliseconds connectTime{1000};
-    // Finds connections that went silent while nothing is sent on them, as a waiting watch is.
+    // Enables TCP keep-alive, which detects a lost peer while nothing is sent on the connection,
+    // as during a long-polling watch.
     bool keepAlive = false;
 };
 
-// Idle connections by address. Thread safe.
+// Keeps idle client connections for reuse, by address. Thread safe.
 class connection_pool
 {
 public:
@@ -42,21 +45,26 @@
     {
         std::string address;
         std::unique_ptr<http_stream> stream;
+        // Whether the connection has served an earlier exchange.
         bool reused = false;
     };
 
     explicit connection_pool(const connection_pool_options &options = {});
 
-    // Returns an idle connection that its peer has not closed, or connects. `repeatable` tells
-    // about the request to be sent. Errors: FailedPrecondition if the connection is refused,
-    // Unavailable if it can't be made in time.
+    // Returns an idle connection that its peer has not closed, or establishes a new one.
+    // `repeatable` tells whether the request to be sent may be repeated. Errors:
+    // FailedPrecondition if the peer refuses the connection, Unavailable if no connection can be
+    // established before `until` or within `connectTime`.
     absl::StatusOr<connection> acquire(const std::string &address, bool repeatable, steady_time now,
                                        steady_time until);
+    // Establishes a new connection, with the errors of acquire().
     absl::StatusOr<connection> connect(const std::string &address, steady_time until);
-    // Returns a connection on which an exchange ended regularly.
+    // Returns a connection to the pool after a complete exchange. The pool closes the connection
+    // if it keeps `maxIdlePerAddress` connections to the address already.
     void release(connection connection, steady_time now);
     // Closes the idle connections to an address.
     void closeIdle(const std::string &address);
+    // Returns the number of idle connections to all addresses.
     size_t idleCount() const;
 
 private:
@@ -64,16 +72,17 @@
     {
         std::string address;
         std::unique_ptr<http_stream> stream;
-        steady_time since;
+        steady_time idleSince;
     };
     using idle_list = std::list<idle_connection>;
 
-    std::unique_ptr<http_stream> takeIdle(const std::string &address, steady_time since);
-    void closeOldest();
+    std::unique_ptr<http_stream> acquireIdle(const std::string &address, steady_time idleSince);
+    void closeLongestIdle();
 
     const connection_pool_options m_options;
     mutable std::mutex m_mutex;
-    // Both in the order in which the connections became idle.
+    // m_idle and the queues of m_byAddress are sorted by the time at which the connections became
+    // idle, earliest first.
     idle_list m_idle;
     std::map<std::string, std::deque<idle_list::iterator>> m_byAddress;
 };
@@ -83,131 +92,151 @@
 {
 public:
     virtual ~body_source() = default;
+    // Returns the framing with which the body is sent.
     virtual body_framing framing() const = 0;
-    // Replaces `piece` with the next bytes, empty at the end.
+    // Replaces `piece` with the next bytes of the body. An empty piece marks the end of the body.
     virtual io_status read(std::string &piece, steady_time until) = 0;
-    // Starts again from the first byte; false if the bytes are no longer available.
+    // Restarts the body at its first byte. Returns false if the bytes are no longer available.
     virtual bool rewind() = 0;
 };
 
-// Receives an answer. Implementations need not be thread safe.
+// Receives a response. Implementations need not be thread safe.
 class response_sink
 {
 public:
     virtual ~response_sink() = default;
-    // Called once, when either the whole body or its first bodyPieceBytes have arrived. If
-    // `isComplete` is set, `first` is the whole body and neither write() nor finish() follows.
-    // Returns false if the receiver is gone.
+    // Called once, when either the whole body or at least its first bodyPieceBytes bytes have
+    // arrived. If `isComplete` is set, `first` is the whole body, and neither write() nor finish()
+    // follows. Returns false if the receiver has disconnected.
     virtual bool begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
                        std::string_view first, bool isComplete) = 0;
+    // Called with each further piece of the body. Returns false if the receiver has disconnected
+    // or accepts no more bytes.
     virtual bool write(std::string_view piece) = 0;
-    // Called once the answer is known to be complete.
+    // Called once the response is known to be complete. Returns false if the receiver has
+    // disconnected.
     virtual bool finish() = 0;
 };
 
+// How an exchange ended.
 enum class exchange_state {
-    // The whole answer went to the sink.
+    // The sink received the whole response.
     Complete,
-    // The answer came, but `acceptsResponse` declined it; the sink got nothing.
+    // `acceptsResponse` declined the response; the sink received nothing.
     Declined,
     // No byte of the request was sent.
     NotSent,
-    // Bytes of the request were sent, and no whole head of an answer came.
+    // Bytes of the request were sent, but no complete response head arrived.
     NoResponse,
-    // The answer ended before its framing says, violated it, or has none.
+    // The response is malformed, ended before the end that its framing states, or has no framing.
     Truncated,
+    // The deadline passed.
     TimedOut,
-    // No progress, while a new connection to the same address answered.
+    // The connection made no progress, while a new connection to the same address responded.
     Silent,
-    // The time of abandonAt has come.
+    // The time that `abandonAt` returns was reached after bytes of the request were sent.
     Abandoned,
-    // The caller's connection closed, or its request body broke off.
+    // The caller closed the connection, or the request body ended early.
     CallerDisconnected,
-    // The request body was not valid HTTP.
+    // The framing of the request body is invalid.
     BadRequestBody,
 };
 
+// Returns the fixed name of a state for reasons and error messages.
 std::string_view toString(exchange_state state);
 
+// One request to be sent by http_client.
 struct client_request
 {
+    // "ip:port" of the server.
     std::string address;
-    // Method, URI and fields; framing and connection fields are set by the client.
+    // Method, URI and header fields. The client sets the framing and connection fields.
     Poco::Net::HTTPRequest message{Poco::Net::HTTPMessage::HTTP_1_1};
-    // Null for a request without body.
+    // Null for a request without a body.
     body_source *body = nullptr;
-    // Sends the body only after the peer has asked for it, so that a refusal leaves the body
-    // unread.
+    // Sends "Expect: 100-continue" and withholds the body until the peer asks for it, so that a
+    // rejected request leaves the body unread.
     bool expectContinue = false;
     // Whether the request may be sent again after bytes of it were sent.
     bool repeatable = false;
+    // End of the whole exchange.
     steady_time deadline;
-    // Returns the time at and after which the first byte is not sent; no limit if empty.
+    // The client does not start to send the request at or after the time that this function
+    // returns. An empty function sets no limit.
     std::function<steady_time()> sendBefore;
-    // Returns the time at which an exchange under way is given up; no limit if empty. Both are read
-    // anew whenever they matter, since a lease is renewed while the exchange runs.
+    // Returns the time at which an exchange in progress is abandoned. An empty function sets no
+    // limit. The times of `sendBefore` and `abandonAt` depend on a lease that may be renewed while
+    // the exchange runs, so the client calls these functions anew at each check.
     std::function<steady_time()> abandonAt;
-    // Watched while waiting; null if there is none.
+    // Connection of the caller, null if there is none. The exchange ends if the caller closes the
+    // connection while the client waits.
     http_stream *caller = nullptr;
-    // After this time without progress, `probe` is asked; zero waits until the deadline.
+    // The client calls `probe` after each period of this length without progress. With zero, the
+    // client waits until the deadline.
     milliseconds progressTimeout{0};
-    // Asked over a new connection: whether the peer answers there and this connection is therefore
-    // to be given up.
+    // Tests the peer over a new connection. Returns true if the peer responds there, which means
+    // that this connection has failed and the exchange ends as Silent.
     std::function<bool()> probe;
-    // Whether an answer may end with its connection instead of stating its length. Only for
-    // upstreams known to answer so: a truncated answer whose connection is closed in order can't be
-    // told from a whole one.
+    // Whether the close of the connection may mark the end of a response that states no length.
+    // Only for upstreams known to respond in this way: a truncated response can't be distinguished
+    // from a complete one if its connection is closed gracefully.
     bool acceptsUnframed = false;
-    // Returns whether an answer belongs to this request. One that does not is an extra answer to an
-    // earlier request on the connection: it is skipped, and the connection not used again. All
-    // belong if it is empty.
+    // Returns whether a response belongs to this request. A response that does not is a surplus
+    // response to an earlier request on the connection; the client skips it and does not reuse the
+    // connection. With an empty function, every response matches.
     std::function<bool(const Poco::Net::HTTPResponse &head)> matchesRequest;
-    // Returns whether the answer is to be passed to the sink; all are if it is empty.
+    // Returns whether the sink is to receive the response. With an empty function, the sink
+    // receives every response.
     std::function<bool(const Poco::Net::HTTPResponse &head)> acceptsResponse;
 };
 
+// Result of http_client::exchange().
 struct exchange_result
 {
     exchange_state state = exchange_state::NotSent;
-    // Whether any byte of the request was sent, on this or an earlier connection.
+    // Whether any byte of the request was sent, on the last connection or an earlier one.
     bool anySent = false;
-    // Whether `sendBefore` or the deadline is the reason that nothing was sent.
+    // Whether `sendBefore` prevented the request, or `abandonAt` ended a wait on the connection.
     bool leaseEnding = false;
+    // Whether the deadline prevented the request, or ended a wait on the connection.
     bool deadlinePassed = false;
-    // Whether the last connection was refused, so that no process listens at the address.
+    // Whether the last connection attempt was refused, so that no process listens at the address.
     bool connectionRefused = false;
     // Whether the sink has been called.
     bool responseStarted = false;
-    // Whether the sink reported that its receiver is gone.
+    // Whether the sink reported that its receiver has disconnected.
     bool sinkGone = false;
-    // Valid if state is Whole or Declined.
+    // Valid if `state` is Complete or Declined.
     Poco::Net::HTTPResponse head;
+    // Explanation for logs and error messages.
     std::string detail;
 };
 
-// Exchanges one request and its answer, streaming both bodies. A reused connection that is closed
-// before any byte of the answer is replaced by a fresh one, once, if the request is repeatable or
-// no byte of it was sent. Thread safe.
+// HTTP/1.1 client that streams the bodies of requests and responses. If a reused connection closes
+// before a response head arrives, the client sends the request once more over a new connection,
+// provided that the request is repeatable or no byte of it was sent. Thread safe.
 class http_client
 {
 public:
     http_client(std::shared_ptr<connection_pool> pool);
 
+    // Sends a request, passes the response to `sink`, and returns when the exchange has ended.
     exchange_result exchange(const client_request &request, response_sink &sink);
 
 private:
     std::shared_ptr<connection_pool> m_pool;
 };
 
-// A whole answer held in memory, for control requests.
+// A complete response held in memory, for control requests.
 struct simple_response
 {
     int status = 0;
     std::string body;
 };
 
-// Sends a small request and reads an answer of at most 1 MB. Errors: Unavailable if the request
-// was not sent, Unknown if it may have been received and no whole answer came.
+// Sends a request with an optional JSON body and reads a response of at most 1 MB. Requests with
+// the method GET are repeatable. Errors: Unavailable if the request was not sent, Unknown if the
+// peer may have received the request and no complete response arrived.
 absl::StatusOr<simple_response> simpleRequest(http_client &client, const std::string &address,
                                               const std::string &method, const std::string &uri,
                                               const std::string &body, steady_time deadline);
--- a/src/persimmonrail/http/http_server.cpp
+++ b/src/persimmonrail/http/http_server.cpp
@@ -2,7 +2,7 @@
 
 #include "persimmonrail/base/header_names.h"
 #include "persimmonrail/base/instance_id.h"
-#include "persimmonrail/http/connection_watch.h"
+#include "persimmonrail/http/connection_poller.h"
 
 #include <Poco/Exception.h>
 #include <Poco/Net/ServerSocket.h>
@@ -25,23 +25,30 @@
 
 constexpr int listenBacklog = 1024;
 constexpr int threadStackBytes = 512 * 1024;
-constexpr milliseconds lingerTime{500};
-constexpr milliseconds closeTimeout{1000};
-// How often idle connections are looked through for those whose time is over.
+// After the server has shut down its sending direction, bounds the wait until the client closes the
+// connection.
+constexpr milliseconds lingerTimeout{500};
+// Bounds the wait of stopListening() until the polling thread has closed the listener.
+constexpr milliseconds listenerCloseTimeout{1000};
+// Maximum interval between checks for expired connections.
 constexpr milliseconds idleCheckInterval{2000};
-constexpr milliseconds closingCheckInterval{50};
-// How long an open connection may still send its last request once the listener is closed.
-constexpr milliseconds lastRequestTime{250};
-// Pause after a connection could not be accepted, so that a lack of descriptors costs no processor.
-constexpr milliseconds acceptPause{50};
-// When a connection that found no thread asks for one again.
+// Replaces idleCheckInterval while the server stops or accepting is to be retried.
+constexpr milliseconds shortCheckInterval{50};
+// After the listener is closed, bounds the wait for a last request on an open connection.
+constexpr milliseconds lastRequestTimeout{250};
+// Delay before accepting is retried after a failure, so that a lack of descriptors causes no busy
+// loop.
+constexpr milliseconds acceptRetryDelay{50};
+// Interval at which the server retries to start workers for deferred connections.
 constexpr milliseconds deferredRetryInterval{10};
-// Threads that are kept, and how long others are kept without work: shorter pauses between
-// requests cost no new thread.
+// Number of threads that the server always keeps.
 constexpr int minThreads = 2;
+// Idle timeout of the other threads. Requests that follow each other within this time need no new
+// thread.
 constexpr int threadIdleSeconds = 2;
 
-// Answer to a connection beyond the limit, of which no request is read.
+// Returns the response to a connection beyond maxConnections. The server reads no request from such
+// a connection.
 std::string overloadResponse()
 {
     const std::string id = absl::StrCat(absl::Hex(generateIncarnation(), absl::kZeroPad16),
@@ -56,7 +63,7 @@
                         body.size(), "\r\n\r\n", body);
 }
 
-void sendRefusal(const Poco::Net::StreamSocket &socket)
+void sendOverloadResponse(const Poco::Net::StreamSocket &socket)
 {
     try {
         Poco::Net::StreamSocket copy(socket);
@@ -65,18 +72,18 @@
         copy.sendBytes(response.data(), static_cast<int>(response.size()));
         copy.shutdownSend();
     } catch (const Poco::Exception &) {
-        // The requester is gone already.
+        // The client has disconnected already.
     }
 }
 
-steady_time after(milliseconds time)
+steady_time after(milliseconds delay)
 {
-    return std::chrono::steady_clock::now() + time;
+    return std::chrono::steady_clock::now() + delay;
 }
 
 } // namespace
 
-// One connection. Served by one worker at a time; while it is parked, by the polling thread.
+// One connection. It is used by one worker at a time, or by the polling thread while it is polled.
 class http_server::connection : public Poco::Runnable
 {
 public:
@@ -85,28 +92,30 @@
         , m_server(server)
     { }
 
-    // Serves requests until the connection is parked or closed, which may delete this object.
+    // Serves requests until the connection returns to the poller or is closed, which may delete
+    // this object.
     void run() override;
 
     http_stream stream;
-    // Since when it is parked.
-    steady_time since;
-    // Whether the sending direction has ended, so that only the end of the peer's is awaited.
-    bool isEnding = false;
+    // Start of the current wait for input, while the connection is polled.
+    steady_time waitingSince;
+    // Whether the server has shut down its sending direction and only waits until the client closes
+    // the connection.
+    bool isSendingShutDown = false;
 
 private:
     state &m_server;
 };
 
-// Invariant: a connection is parked, deferred, or run by one worker. Parked ones are touched by
-// the polling thread alone.
+// Invariant: each connection is polled, deferred (waiting for a free thread), or used by one
+// worker. Only the polling thread uses polled connections.
 class http_server::state
 {
 public:
     state(const http_server_options &serverOptions, handler serverHandler,
           error_handler serverOnError)
         : options(serverOptions)
-        , m_handle(std::move(serverHandler))
+        , m_handler(std::move(serverHandler))
         , m_onError(std::move(serverOnError))
         , m_threads(minThreads, options.maxConnections + minThreads, threadIdleSeconds,
                     threadStackBytes)
@@ -116,23 +125,23 @@
     {
         {
             const std::lock_guard lock(m_mutex);
-            m_stopping = true;
+            m_isStopping = true;
         }
-        m_watch.wake();
-        if (m_poller.joinable()) {
-            m_poller.join();
+        m_poller.wake();
+        if (m_pollingThread.joinable()) {
+            m_pollingThread.join();
         }
         std::unique_lock lock(m_mutex);
-        for (connection *idle : m_parked) {
-            m_connections.erase(idle);
+        for (connection *polled : m_polled) {
+            m_connections.erase(polled);
         }
-        for (connection *waiting : m_deferred) {
-            m_connections.erase(waiting);
+        for (connection *deferred : m_deferred) {
+            m_connections.erase(deferred);
         }
         for (const auto &[busy, owned] : m_connections) {
             busy->stream.shutdown();
         }
-        m_changed.wait(lock, [this] { return m_connections.empty(); });
+        m_connectionsChanged.wait(lock, [this] { return m_connections.empty(); });
         lock.unlock();
         m_threads.joinAll();
     }
@@ -143,254 +152,270 @@
         m_listener.bind(Poco::Net::SocketAddress(options.address), true, false);
         m_listener.listen(listenBacklog);
         address = m_listener.address().toString();
-        if (!m_watch.add(m_listener.impl()->sockfd(), this)) {
+        if (!m_poller.add(m_listener.impl()->sockfd(), this)) {
             throw Poco::IOException("cannot watch the listening socket");
         }
-        m_poller = std::thread([this] { poll(); });
+        m_pollingThread = std::thread([this] { poll(); });
     }
 
-    // Closes the listener once the connections that were made earlier are accepted, and the idle
-    // connections soon after.
-    void requestClose()
+    // Closes the listener once the connections established earlier are accepted. The polling thread
+    // closes the idle connections soon afterwards.
+    void stopListening()
     {
-        m_closing = true;
-        m_watch.wake();
+        m_isClosing = true;
+        m_poller.wake();
         std::unique_lock lock(m_mutex);
-        m_changed.wait_for(lock, closeTimeout, [this] { return m_closedAt.has_value(); });
+        m_connectionsChanged.wait_for(lock, listenerCloseTimeout,
+                                      [this] { return m_closedAt.has_value(); });
     }
 
-    bool waitAllClosed(steady_time until)
+    bool waitUntilClosed(steady_time until)
     {
         std::unique_lock lock(m_mutex);
-        return m_changed.wait_until(lock, until, [this] { return m_connections.empty(); });
+        return m_connectionsChanged.wait_until(lock, until,
+                                               [this] { return m_connections.empty(); });
     }
 
-    int count() const
+    int connectionCount() const
     {
         const std::lock_guard lock(m_mutex);
         return static_cast<int>(m_connections.size());
     }
 
-    // Runs on a worker.
-    void serve(connection &served)
+    // Serves the requests that have arrived on a connection. Runs on a worker.
+    void serveRequests(connection &target)
     {
         bool isOpen = true;
         try {
             do {
-                isOpen = serveOne(served.stream);
-            } while (isOpen && !m_stopping && served.stream.hasInput());
+                isOpen = serveRequest(target.stream);
+            } while (isOpen && !m_isStopping && target.stream.hasInput());
         } catch (const std::exception &) {
-            // The handler failed; closing the connection tells the requester that no answer comes.
-            served.stream.shutdown();
+            // The handler failed. The closed connection tells the client that no response follows.
+            target.stream.shutdown();
             isOpen = false;
         }
         if (!isOpen) {
-            served.stream.endSending();
-            served.isEnding = true;
+            target.stream.shutdownSending();
+            target.isSendingShutDown = true;
         }
-        if (served.isEnding && served.stream.discardInput() == io_status::Closed) {
+        if (target.isSendingShutDown && target.stream.discardInput() == io_status::Closed) {
             const std::lock_guard lock(m_mutex);
-            forget(served);
+            closeConnection(target);
         } else {
-            park(served);
+            returnToPoller(target);
         }
     }
 
     const http_server_options options;
-    std::atomic<uint64_t> refused = 0;
+    std::atomic<uint64_t> rejected = 0;
     std::string address;
 
 private:
-    // Loop of the polling thread.
+    // Runs the loop of the polling thread.
     void poll()
     {
         std::vector<void *> ready;
-        while (!m_stopping) {
-            m_watch.wait(pollStep(), ready);
-            for (void *owner : ready) {
-                if (owner == this) {
-                    acceptAll();
+        while (!m_isStopping) {
+            m_poller.wait(pollTimeout(), ready);
+            for (void *context : ready) {
+                if (context == this) {
+                    acceptConnections();
                 } else {
-                    resume(*static_cast<connection *>(owner));
+                    onInput(*static_cast<connection *>(context));
                 }
             }
             retryDeferred();
             const steady_time now = std::chrono::steady_clock::now();
-            if (m_acceptAgainAt && now >= *m_acceptAgainAt) {
-                acceptAll();
+            if (m_acceptRetryAt && now >= *m_acceptRetryAt) {
+                acceptConnections();
             }
-            if (m_closing && !m_closedAt) {
-                acceptAll();
+            if (m_isClosing && !m_closedAt) {
+                acceptConnections();
                 closeListener(now);
             }
-            closeExpired(now);
+            closeExpiredConnections(now);
         }
     }
 
-    milliseconds idleLimit() const
+    // Returns the idle timeout for the present number of connections.
+    milliseconds currentIdleTimeout() const
     {
-        const bool isCrowded = count() * 4 > options.maxConnections * 3;
+        const bool isCrowded = connectionCount() * 4 > options.maxConnections * 3;
         return isCrowded ? options.crowdedIdleTimeout : options.idleTimeout;
     }
 
-    milliseconds pollStep() const
+    // Returns the timeout of the next wait of the polling thread.
+    milliseconds pollTimeout() const
     {
         if (!m_deferred.empty()) {
             return deferredRetryInterval;
         }
-        const bool isSoon = m_closing || m_acceptAgainAt.has_value();
-        return std::clamp(idleLimit(), deferredRetryInterval,
-                          isSoon ? closingCheckInterval : idleCheckInterval);
+        const bool needsShortInterval = m_isClosing || m_acceptRetryAt.has_value();
+        return std::clamp(currentIdleTimeout(), deferredRetryInterval,
+                          needsShortInterval ? shortCheckInterval : idleCheckInterval);
     }
 
-    void acceptAll()
+    // Accepts all connections in the backlog of the listener.
+    void acceptConnections()
     {
-        m_acceptAgainAt.reset();
+        m_acceptRetryAt.reset();
         try {
             while (m_listener.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
-                admit(m_listener.acceptConnection());
+                addConnection(m_listener.acceptConnection());
             }
         } catch (const Poco::Exception &) {
-            // The peer is gone, or no descriptor is left: then the next try would fail at once.
-            m_acceptAgainAt = after(acceptPause);
+            // The peer has disconnected, or no descriptor is free. In the latter case, an immediate
+            // retry would fail as well.
+            m_acceptRetryAt = after(acceptRetryDelay);
             return;
         }
-        if (!m_watch.rearm(m_listener.impl()->sockfd(), this)) {
-            m_acceptAgainAt = after(acceptPause);
+        if (!m_poller.rearm(m_listener.impl()->sockfd(), this)) {
+            m_acceptRetryAt = after(acceptRetryDelay);
         }
     }
 
-    void admit(const Poco::Net::StreamSocket &socket)
+    // Adds an accepted connection. Rejects the connection if maxConnections are open.
+    void addConnection(const Poco::Net::StreamSocket &socket)
     {
-        if (count() >= options.maxConnections) {
-            ++refused;
-            sendRefusal(socket);
+        if (connectionCount() >= options.maxConnections) {
+            ++rejected;
+            sendOverloadResponse(socket);
             return;
         }
-        auto made = std::make_unique<connection>(socket, *this);
-        connection &added = *made;
+        auto owned = std::make_unique<connection>(socket, *this);
+        connection &added = *owned;
         const std::lock_guard lock(m_mutex);
-        m_connections.emplace(&added, std::move(made));
-        added.since = std::chrono::steady_clock::now();
-        m_parked.insert(&added);
-        if (!m_watch.add(added.stream.descriptor(), &added)) {
-            ++refused;
-            forget(added);
+        m_connections.emplace(&added, std::move(owned));
+        added.waitingSince = std::chrono::steady_clock::now();
+        m_polled.insert(&added);
+        if (!m_poller.add(added.stream.descriptor(), &added)) {
+            ++rejected;
+            closeConnection(added);
         }
     }
 
-    // Takes up a parked connection that has input.
-    void resume(connection &found)
+    // Handles a polled connection that has input.
+    void onInput(connection &target)
     {
         {
-            // Also orders this after the worker that parked the connection.
+            // The lock also orders this call after the worker that returned the connection to the
+            // poller.
             const std::lock_guard lock(m_mutex);
-            if (!found.isEnding) {
-                m_parked.erase(&found);
+            if (!target.isSendingShutDown) {
+                m_polled.erase(&target);
             }
         }
-        if (found.isEnding) {
-            if (found.stream.discardInput() == io_status::Closed
-                || !m_watch.rearm(found.stream.descriptor(), &found)) {
+        if (target.isSendingShutDown) {
+            if (target.stream.discardInput() == io_status::Closed
+                || !m_poller.rearm(target.stream.descriptor(), &target)) {
                 const std::lock_guard lock(m_mutex);
-                forget(found);
+                closeConnection(target);
             }
             return;
         }
-        dispatch(found);
+        startWorker(target);
     }
 
-    void dispatch(connection &found)
+    // Starts a worker for a connection, or defers the connection if no thread is free.
+    void startWorker(connection &target)
     {
         try {
-            m_threads.start(found);
+            m_threads.start(target);
         } catch (const Poco::Exception &) {
-            // All threads are in use for a moment, or the system has none left.
-            m_deferred.push_back(&found);
+            // All threads are in use, or the system can't create another one.
+            m_deferred.push_back(&target);
         }
     }
 
     void retryDeferred()
     {
-        const std::vector<connection *> waiting = std::move(m_deferred);
+        const std::vector<connection *> deferred = std::move(m_deferred);
         m_deferred.clear();
-        for (connection *found : waiting) {
-            dispatch(*found);
+        for (connection *target : deferred) {
+            startWorker(*target);
         }
     }
 
-    void park(connection &served)
+    // Lets the polling thread wait for the next input of a connection. Closes the connection if the
+    // server stops.
+    void returnToPoller(connection &target)
     {
         const std::lock_guard lock(m_mutex);
-        if (!m_stopping) {
-            served.stream.releaseBuffer();
-            served.since = std::chrono::steady_clock::now();
-            m_parked.insert(&served);
-            if (m_watch.rearm(served.stream.descriptor(), &served)) {
+        if (!m_isStopping) {
+            target.stream.releaseBuffer();
+            target.waitingSince = std::chrono::steady_clock::now();
+            m_polled.insert(&target);
+            if (m_poller.rearm(target.stream.descriptor(), &target)) {
                 return;
             }
         }
-        forget(served);
+        closeConnection(target);
     }
 
-    // Closes a connection. Call with the mutex held.
-    void forget(connection &closed)
+    // Closes a connection and deletes its object. Call closeConnection() with the mutex held.
+    void closeConnection(connection &target)
     {
-        m_parked.erase(&closed);
-        m_connections.erase(&closed);
-        m_changed.notify_all();
+        m_polled.erase(&target);
+        m_connections.erase(&target);
+        m_connectionsChanged.notify_all();
     }
 
+    // Closes the listener. Called once, by the polling thread.
     void closeListener(steady_time now)
     {
         const std::lock_guard lock(m_mutex);
-        m_watch.remove(m_listener.impl()->sockfd());
+        m_poller.remove(m_listener.impl()->sockfd());
         m_listener.close();
-        m_acceptAgainAt.reset();
-        // The end of each wait is earlier from now on.
-        m_nextScan = now;
+        m_acceptRetryAt.reset();
+        // Closing the listener shortens the remaining waits, so expiry is checked at once.
+        m_nextExpiryCheckAt = now;
         m_closedAt = now;
-        m_changed.notify_all();
+        m_connectionsChanged.notify_all();
     }
 
-    // Ends parked connections whose time is over.
-    void closeExpired(steady_time now)
+    // Shuts down the polled connections whose idle timeout has expired, and closes those whose
+    // linger timeout has expired.
+    void closeExpiredConnections(steady_time now)
     {
-        if (now < m_nextScan) {
+        if (now < m_nextExpiryCheckAt) {
             return;
         }
-        m_nextScan = now + pollStep();
-        const milliseconds limit = idleLimit();
+        m_nextExpiryCheckAt = now + pollTimeout();
+        const milliseconds idleTimeout = currentIdleTimeout();
         const std::lock_guard lock(m_mutex);
-        std::vector<connection *> over;
-        for (connection *idle : m_parked) {
-            if (now >= endOfWait(*idle, limit)) {
-                over.push_back(idle);
+        std::vector<connection *> expired;
+        for (connection *polled : m_polled) {
+            if (now >= expiryTime(*polled, idleTimeout)) {
+                expired.push_back(polled);
             }
         }
-        for (connection *idle : over) {
-            if (idle->isEnding) {
-                forget(*idle);
-            } else if (!idle->stream.hasInput()) {
-                // Input is reported by the next wait.
-                idle->stream.endSending();
-                idle->isEnding = true;
-                idle->since = now;
+        for (connection *polled : expired) {
+            if (polled->isSendingShutDown) {
+                closeConnection(*polled);
+            } else if (!polled->stream.hasInput()) {
+                // A connection with input is left open, because the next wait() reports the input.
+                polled->stream.shutdownSending();
+                polled->isSendingShutDown = true;
+                polled->waitingSince = now;
             }
         }
     }
 
-    // A connection may have been queued before the listener closed, its request still on the way.
-    steady_time endOfWait(const connection &idle, milliseconds limit) const
+    // Returns the time at which the wait of a polled connection expires. After the listener has
+    // closed, a connection keeps lastRequestTimeout, because it may have been accepted just before
+    // and its request may still be in transit.
+    steady_time expiryTime(const connection &polled, milliseconds idleTimeout) const
     {
-        if (idle.isEnding) {
-            return idle.since + lingerTime;
+        if (polled.isSendingShutDown) {
+            return polled.waitingSince + lingerTimeout;
         }
-        const steady_time end = idle.since + limit;
-        return m_closedAt ? std::min(end, *m_closedAt + lastRequestTime) : end;
+        const steady_time end = polled.waitingSince + idleTimeout;
+        return m_closedAt ? std::min(end, *m_closedAt + lastRequestTimeout) : end;
     }
 
-    void refuse(http_stream &stream, int status, const std::string &reason) const
+    // Responds to an invalid request.
+    void rejectRequest(http_stream &stream, int status, const std::string &reason) const
     {
         server_exchange exchange(stream, Poco::Net::HTTPRequest(), {}, options.idleTimeout);
         exchange.closeAfterResponse();
@@ -401,13 +426,13 @@
         }
     }
 
-    // Serves one request; false if the connection is to be closed.
-    bool serveOne(http_stream &stream) const
+    // Serves one request. Returns false if the connection is to be closed.
+    bool serveRequest(http_stream &stream) const
     {
         std::string head;
         io_status status = stream.readHead(head, after(options.idleTimeout));
         if (status == io_status::TooLarge) {
-            refuse(stream, 431, "header-too-large");
+            rejectRequest(stream, 431, "header-too-large");
         }
         if (status != io_status::Ok) {
             return false;
@@ -419,56 +444,56 @@
             status = requestFraming(request, framing);
         }
         if (status != io_status::Ok) {
-            refuse(stream, 400, "malformed-request");
+            rejectRequest(stream, 400, "malformed-request");
             return false;
         }
         if (request.getVersion() != Poco::Net::HTTPMessage::HTTP_1_1) {
-            // HTTP/1.0 has no chunked framing, so a truncated answer would go unnoticed.
-            refuse(stream, 505, "http-version-not-supported");
+            // HTTP/1.0 has no chunked framing, so its clients can't detect a truncated response.
+            rejectRequest(stream, 505, "http-version-not-supported");
             return false;
         }
         server_exchange exchange(stream, request, framing, options.idleTimeout);
-        m_handle(exchange);
-        return exchange.finish() && !m_closing;
+        m_handler(exchange);
+        return exchange.canReuseConnection() && !m_isClosing;
     }
 
-    const handler m_handle;
+    const handler m_handler;
     const error_handler m_onError;
-    std::atomic<bool> m_stopping = false;
+    std::atomic<bool> m_isStopping = false;
     // Set once no new connections are to be accepted.
-    std::atomic<bool> m_closing = false;
-    // The following four are used by the polling thread only, once it runs.
+    std::atomic<bool> m_isClosing = false;
+    // Only the polling thread uses the following four members while it runs.
     Poco::Net::ServerSocket m_listener;
     std::vector<connection *> m_deferred;
-    std::optional<steady_time> m_acceptAgainAt;
-    steady_time m_nextScan;
-    connection_watch m_watch;
+    std::optional<steady_time> m_acceptRetryAt;
+    steady_time m_nextExpiryCheckAt;
+    connection_poller m_poller;
     mutable std::mutex m_mutex;
-    std::condition_variable m_changed;
-    // When the listener was closed; written by the polling thread, with the mutex held.
+    std::condition_variable m_connectionsChanged;
+    // Time at which the listener was closed. The polling thread writes it with the mutex held.
     std::optional<steady_time> m_closedAt;
     std::unordered_map<connection *, std::unique_ptr<connection>> m_connections;
-    std::unordered_set<connection *> m_parked;
+    std::unordered_set<connection *> m_polled;
     Poco::ThreadPool m_threads;
-    std::thread m_poller;
+    std::thread m_pollingThread;
 };
 
 void http_server::connection::run()
 {
-    m_server.serve(*this);
+    m_server.serveRequests(*this);
 }
 
 absl::StatusOr<std::unique_ptr<http_server>>
 http_server::listen(const http_server_options &options, handler handler, error_handler onError)
 {
-    auto inner = std::make_unique<state>(options, std::move(handler), std::move(onError));
+    auto serverState = std::make_unique<state>(options, std::move(handler), std::move(onError));
     try {
-        inner->start();
+        serverState->start();
     } catch (const Poco::Exception &error) {
         return absl::UnavailableError("cannot listen on " + options.address + ": "
                                       + error.displayText());
     }
-    return std::unique_ptr<http_server>(new http_server(std::move(inner)));
+    return std::unique_ptr<http_server>(new http_server(std::move(serverState)));
 }
 
 http_server::http_server(std::unique_ptr<state> state)
@@ -484,22 +509,22 @@
 
 int http_server::connectionCount() const
 {
-    return m_state->count();
+    return m_state->connectionCount();
 }
 
-uint64_t http_server::refusedConnections() const
+uint64_t http_server::rejectedConnections() const
 {
-    return m_state->refused;
+    return m_state->rejected;
 }
 
 void http_server::stopListening()
 {
-    m_state->requestClose();
+    m_state->stopListening();
 }
 
 bool http_server::waitClosed(steady_time until)
 {
-    return m_state->waitAllClosed(until);
+    return m_state->waitUntilClosed(until);
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/http/http_server.h
+++ b/src/persimmonrail/http/http_server.h
@@ -11,7 +11,7 @@
 
 namespace persimmonrail {
 
-// One request received by a server and its answer. Used by one thread.
+// One request received by a server, and the response to it. Not thread safe.
 class server_exchange : public body_source
 {
 public:
@@ -19,80 +19,93 @@
                     body_framing framing, milliseconds idleTimeout);
 
     const Poco::Net::HTTPRequest &request() const { return m_request; }
-    // The connection of the requester.
+    // Returns the connection to the client.
     http_stream &connection() { return m_stream; }
 
-    // Body of the request. The first bodyPieceBytes are kept, so that a small body can be read
-    // again after rewind().
+    // Body of the request. A body of at most bodyPieceBytes bytes is buffered while it is read, so
+    // that it can be read again after rewind().
     body_framing framing() const override { return m_reader.framing(); }
     io_status read(std::string &piece, steady_time until) override;
     bool rewind() override;
-    // Reads ahead until `bytes` bytes of the body, or all of it, have arrived; read() returns them
-    // again. To be called before the first read() or after rewind(). `first` is valid until the
-    // next call, and holds at most bodyPieceBytes more than asked for.
+    // Waits until the first `bytes` bytes of the body, or the whole body, have arrived, and sets
+    // `first` to them. The following read() returns these bytes again. Call peek() only before the
+    // first read() or after rewind(). `first` is valid until the next call on this object, and
+    // holds at most bodyPieceBytes bytes more than requested.
     io_status peek(size_t bytes, std::string_view &first, steady_time until);
-    // Reads the whole body. Errors: TooLarge if it exceeds `maxBytes`.
+    // Reads the whole body. Returns TooLarge if the body exceeds `maxBytes` bytes.
     io_status readAll(std::string &body, size_t maxBytes, steady_time until);
 
-    // Sends a whole answer. False if the requester is gone.
+    // Sends a complete response. Returns false if the client has disconnected.
     bool respond(Poco::Net::HTTPResponse &head, std::string_view body);
     bool respond(int status, std::string_view body, const std::string &contentType);
-    // Sends a streamed answer: beginResponse, any number of writeResponse, endResponse. An answer
-    // that is not ended makes the server close the connection, so the requester notices.
+    // Send a streamed response: one beginResponse(), any number of writeResponse(), one
+    // endResponse(). Each returns false if the client has disconnected; endResponse() also does so
+    // if the body is shorter or longer than its framing states. The server closes the connection
+    // if a response is not ended, so that the client detects the truncation. beginResponse() also
+    // discards an unread body whose stated length is at most bodyPieceBytes, so that the connection
+    // can be reused.
     bool beginResponse(Poco::Net::HTTPResponse &head, const body_framing &framing);
     bool writeResponse(std::string_view piece);
     bool endResponse();
 
-    bool responseStarted() const { return m_responseStarted; }
-    // Closes the connection after the answer.
+    bool responseStarted() const { return m_hasResponseStarted; }
+    // Makes the server close the connection after the response.
     void closeAfterResponse() { m_keepAlive = false; }
-    // Whether another request may follow on the connection; drains the rest of a small body.
-    bool finish();
+    // Returns whether the connection can carry another request: the request body was read and the
+    // response sent completely, and neither side asked to close the connection.
+    bool canReuseConnection();
 
 private:
     bool send(std::string_view bytes);
-    io_status readNext(std::string &piece, steady_time until);
+    // Reads the next piece of the body from the connection. The first call sends "100 Continue"
+    // before if the client waits for that response.
+    io_status readFromConnection(std::string &piece, steady_time until);
 
     http_stream &m_stream;
     Poco::Net::HTTPRequest m_request;
     body_reader m_reader;
     const milliseconds m_idleTimeout;
-    std::string m_kept;
-    bool m_keptAll = true;
-    bool m_replayKept = false;
-    bool m_continueSent = false;
+    // First bytes of the body, as long as m_canReplayBody is set.
+    std::string m_bufferedBody;
+    bool m_canReplayBody = true;
+    // Whether the next read() returns m_bufferedBody.
+    bool m_shouldReplayBuffer = false;
+    bool m_hasSentContinue = false;
     bool m_keepAlive;
-    bool m_responseStarted = false;
-    bool m_responseEnded = false;
+    bool m_hasResponseStarted = false;
+    bool m_hasResponseEnded = false;
     body_framing m_responseFraming;
-    uint64_t m_responseBytes = 0;
+    uint64_t m_sentBodyBytes = 0;
 };
 
 struct http_server_options
 {
-    // "ip:port"; port 0 picks a free one.
+    // "ip:port" to listen on. The system picks a free port if the port is 0.
     std::string address = "127.0.0.1:0";
-    // Connections beyond this number get a 503 and are closed.
+    // The server responds with status 503 to connections beyond this number and closes them.
     int maxConnections = 1024;
-    // A connection without a request, or without progress within one, is closed after this time.
+    // Connections without a request, or without progress during a request, are closed after this
+    // time.
     milliseconds idleTimeout{30000};
-    // The same while more than three quarters of the connections are in use, so that idle ones make
-    // room for new ones.
+    // Replaces idleTimeout for connections without a request while more than three quarters of
+    // maxConnections are open, so that idle connections make room for new ones.
     milliseconds crowdedIdleTimeout{1000};
 };
 
-// HTTP/1.1 server with a thread for each request in progress; one more thread accepts connections
-// and watches the idle ones. Thread safe.
+// HTTP/1.1 server with one thread for each request in progress. One further thread accepts
+// connections and polls the idle ones. Thread safe.
 class http_server
 {
 public:
-    // Runs on a thread of its own.
+    // Handles one request. Calls run concurrently on worker threads.
     using handler = std::function<void(server_exchange &exchange)>;
-    // Answers requests that are not valid HTTP, before the connection is closed.
+    // Responds to a request that the server rejects because it is not valid HTTP/1.1 or its head is
+    // too large. The server closes the connection afterwards.
     using error_handler =
         std::function<void(server_exchange &exchange, int status, const std::string &reason)>;
 
-    // Errors: Unavailable if the address can't be bound.
+    // Starts a server. Without `onError`, the server responds to invalid requests with the reason
+    // as plain text. Errors: Unavailable if the address can't be bound.
     static absl::StatusOr<std::unique_ptr<http_server>>
     listen(const http_server_options &options, handler handler, error_handler onError = {});
     http_server(const http_server &) = delete;
@@ -100,14 +113,16 @@
     // Closes all connections and waits for their handlers.
     ~http_server();
 
-    // The address with the port that was picked.
+    // Returns the address on which the server listens, with the actual port.
     const std::string &address() const;
+    // Returns the number of open connections.
     int connectionCount() const;
-    uint64_t refusedConnections() const;
-    // Closes the listening socket. Open connections are closed after the request in progress, and
-    // idle ones at once.
+    // Returns the number of connections rejected since the start.
+    uint64_t rejectedConnections() const;
+    // Closes the listening socket. Connections with a request in progress are closed after their
+    // response; idle connections are closed soon, unless a request still arrives.
     void stopListening();
-    // Waits until no connection is open; false if `until` passes before.
+    // Waits until no connection is open. Returns false if `until` passes first.
     bool waitClosed(steady_time until);
 
 private:
--- a/src/persimmonrail/http/http_stream.cpp
+++ b/src/persimmonrail/http/http_stream.cpp
@@ -12,16 +12,18 @@
 namespace persimmonrail {
 namespace {
 
-// Heads and most bodies fit; each connection in use keeps a buffer of this size, so it is small.
-constexpr size_t readBytes = 4 * 1024;
-// With this much waiting, bigger steps save system calls.
+// Bytes requested from the socket at once. Heads and most bodies fit. The size is small because
+// each connection in use keeps a buffer of this size.
+constexpr size_t defaultReadBytes = 4 * 1024;
+// Replaces defaultReadBytes after a read that filled the buffer, to save system calls.
 constexpr size_t largeReadBytes = 32 * 1024;
 
-int pollTimeout(steady_time until)
+int pollTimeoutMs(steady_time until)
 {
-    const auto left = std::chrono::ceil<milliseconds>(until - std::chrono::steady_clock::now());
-    // Longer waits are split; callers loop until `until`.
-    return static_cast<int>(std::clamp<int64_t>(left.count(), 0, 60'000));
+    const auto remaining =
+        std::chrono::ceil<milliseconds>(until - std::chrono::steady_clock::now());
+    // Longer waits are split: the callers repeat the wait until `until`.
+    return static_cast<int>(std::clamp<int64_t>(remaining.count(), 0, 60'000));
 }
 
 } // namespace
@@ -53,25 +55,25 @@
         m_socket.setBlocking(false);
         m_socket.setNoDelay(true);
     } catch (const Poco::Exception &) {
-        // The connection was reset meanwhile; the first read or write reports it.
+        // The connection was reset meanwhile. The first read or write reports the reset.
     }
 }
 
 http_stream::~http_stream() = default;
 
-void http_stream::watch(http_stream *other)
+void http_stream::watchForClose(http_stream *other)
 {
     m_watched = other;
 }
 
 io_status http_stream::wait(short events, steady_time until)
 {
-    // Bytes that the watched peer sends early would end each wait at once, so only the end of its
-    // connection is watched. Descriptors below 0 are ignored.
+    // Only the close of the watched connection is polled, because bytes that its peer sends early
+    // would end each wait at once. poll() ignores negative descriptors.
     const int watched = m_watched != nullptr ? m_watched->m_descriptor : -1;
     for (;;) {
         std::array<pollfd, 2> descriptors{{{m_descriptor, events, 0}, {watched, POLLRDHUP, 0}}};
-        const int ready = ::poll(descriptors.data(), descriptors.size(), pollTimeout(until));
+        const int ready = ::poll(descriptors.data(), descriptors.size(), pollTimeoutMs(until));
         if (ready < 0 && errno != EINTR) {
             return io_status::Closed;
         }
@@ -87,21 +89,21 @@
     }
 }
 
-io_status http_stream::fill(steady_time until)
+io_status http_stream::fillBuffer(steady_time until)
 {
     m_buffer.erase(0, m_position);
     m_position = 0;
     const size_t before = m_buffer.size();
-    const size_t step = m_lastReadWasFull ? largeReadBytes : readBytes;
+    const size_t step = m_wasLastReadFull ? largeReadBytes : defaultReadBytes;
     m_buffer.resize(before + step);
     for (;;) {
         const ssize_t n = ::recv(m_descriptor, m_buffer.data() + before, step, MSG_DONTWAIT);
         if (n > 0) {
-            m_lastReadWasFull = static_cast<size_t>(n) == step;
+            m_wasLastReadFull = static_cast<size_t>(n) == step;
             m_buffer.resize(before + static_cast<size_t>(n));
             return io_status::Ok;
         }
-        m_endedInOrder = n == 0;
+        m_wasClosedGracefully = n == 0;
         io_status status = io_status::Closed;
         if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) {
             status = wait(POLLIN, until);
@@ -118,28 +120,28 @@
     if (m_position == m_buffer.size()) {
         std::string().swap(m_buffer);
         m_position = 0;
-        m_lastReadWasFull = false;
+        m_wasLastReadFull = false;
     }
 }
 
 io_status http_stream::readHead(std::string &head, steady_time until)
 {
-    size_t searched = 0;
+    size_t searchedBytes = 0;
     for (;;) {
-        // RFC 9112, section 2.2: empty lines before a head are skipped.
+        // Empty lines before a head are skipped (RFC 9112, section 2.2).
         while (m_position < m_buffer.size()
                && (m_buffer[m_position] == '\r' || m_buffer[m_position] == '\n')) {
             ++m_position;
         }
         const std::string_view text = std::string_view(m_buffer).substr(m_position);
-        const size_t from = searched < 3 ? 0 : searched - 3;
+        const size_t from = searchedBytes < 3 ? 0 : searchedBytes - 3;
         size_t end = std::string_view::npos;
         size_t endLength = 0;
-        for (const std::string_view mark : {"\r\n\r\n", "\n\n"}) {
-            const size_t found = text.find(mark, from);
+        for (const std::string_view terminator : {"\r\n\r\n", "\n\n"}) {
+            const size_t found = text.find(terminator, from);
             if (found < end) {
                 end = found;
-                endLength = mark.size();
+                endLength = terminator.size();
             }
         }
         if (end != std::string_view::npos && end + endLength <= maxHeadBytes) {
@@ -150,8 +152,8 @@
         if (text.size() > maxHeadBytes) {
             return io_status::TooLarge;
         }
-        searched = text.size();
-        if (const io_status status = fill(until); status != io_status::Ok) {
+        searchedBytes = text.size();
+        if (const io_status status = fillBuffer(until); status != io_status::Ok) {
             return status;
         }
     }
@@ -161,7 +163,7 @@
 {
     count = 0;
     if (m_position == m_buffer.size()) {
-        if (const io_status status = fill(until); status != io_status::Ok) {
+        if (const io_status status = fillBuffer(until); status != io_status::Ok) {
             return status;
         }
     }
@@ -186,7 +188,7 @@
         if (m_buffer.size() - m_position > maxBytes) {
             return io_status::Malformed;
         }
-        if (const io_status status = fill(until); status != io_status::Ok) {
+        if (const io_status status = fillBuffer(until); status != io_status::Ok) {
             return status;
         }
     }
@@ -236,7 +238,7 @@
     ::shutdown(m_descriptor, SHUT_RDWR);
 }
 
-void http_stream::endSending()
+void http_stream::shutdownSending()
 {
     ::shutdown(m_descriptor, SHUT_WR);
     m_watched = nullptr;
@@ -246,7 +248,7 @@
 {
     std::string().swap(m_buffer);
     m_position = 0;
-    std::array<char, readBytes> ignored{};
+    std::array<char, defaultReadBytes> ignored{};
     const ssize_t n = ::recv(m_descriptor, ignored.data(), ignored.size(), MSG_DONTWAIT);
     const bool isOpen = n > 0 || (n < 0 && (errno == EAGAIN || errno == EINTR));
     return isOpen ? io_status::Ok : io_status::Closed;
--- a/src/persimmonrail/http/http_stream.h
+++ b/src/persimmonrail/http/http_stream.h
@@ -12,37 +12,41 @@
 
 namespace persimmonrail {
 
-// Bodies are passed on in pieces of at most this size, which bounds the memory of an exchange.
+// Maximum size of the pieces in which bodies are forwarded, which bounds the memory of an exchange.
 inline constexpr size_t bodyPieceBytes = 64 * 1024;
-// Longest request or answer head that is accepted.
+// Maximum size of a request or response head.
 inline constexpr size_t maxHeadBytes = 32 * 1024;
 
+// Result of an operation on a connection.
 enum class io_status {
     Ok,
-    // The other side closed the connection or reset it.
+    // The peer closed or reset the connection.
     Closed,
     TimedOut,
-    // The bytes violate HTTP/1.1 framing.
+    // The received bytes violate HTTP/1.1.
     Malformed,
-    // The head exceeds maxHeadBytes.
+    // A head exceeds maxHeadBytes, or a body exceeds the limit of the reader.
     TooLarge,
-    // The watched connection was closed by its peer.
+    // The peer of the stream given to http_stream::watchForClose() closed its connection.
     Cancelled,
 };
 
+// Returns the fixed name of a status for error messages.
 std::string_view toString(io_status status);
 
-// How the end of a body is recognised.
+// How the end of a body is determined.
 struct body_framing
 {
+    // None: there is no body. UntilClose: the body ends with its connection.
     enum class kind { None, Length, Chunked, UntilClose };
     kind type = kind::None;
+    // Size of the body in bytes if `type` is Length.
     uint64_t length = 0;
 };
 
-// Buffered, non-blocking reads and writes on one HTTP/1.1 connection. Poco's own HTTP streams are
-// not used for bodies, because its chunked stream reports a broken connection as a regular end.
-// Not thread safe, except for shutdown().
+// Reads and writes one HTTP/1.1 connection over a non-blocking socket, with a read buffer and with
+// timeouts. The HTTP streams of Poco are not used for bodies, because Poco's chunked stream reports
+// a broken connection as the regular end of the body. Not thread safe, except for shutdown().
 class http_stream
 {
 public:
@@ -51,93 +55,107 @@
     http_stream &operator=(const http_stream &) = delete;
     ~http_stream();
 
-    // While this stream waits, the peer of `other` is watched as well: if it closes its connection,
-    // the wait ends with Cancelled. Null stops watching.
-    void watch(http_stream *other);
+    // Makes the waits of this stream end with Cancelled if the peer of `other` closes its
+    // connection. Null ends the watch.
+    void watchForClose(http_stream *other);
 
-    // Reads up to and including the blank line that ends a head.
+    // Reads a head including the blank line at its end. Returns TooLarge if the head
+    // exceeds maxHeadBytes.
     io_status readHead(std::string &head, steady_time until);
-    // Reads up to `capacity` bytes, at least one unless the status is not Ok.
+    // Reads between 1 and `capacity` bytes into `buffer` and sets `count` to their number, which is
+    // 0 if the status is not Ok.
     io_status readSome(char *buffer, size_t capacity, size_t &count, steady_time until);
-    // Reads one line without its line ending; used by the chunked framing.
+    // Reads one line and removes the line ending. Returns Malformed if the line exceeds `maxBytes`
+    // bytes.
     io_status readLine(std::string &line, size_t maxBytes, steady_time until);
-    // Writes all bytes. If `stopOnInput` is set, returns Ok early once the peer has sent bytes, so
-    // that an early answer is noticed; `written` tells how many bytes were taken.
+    // Writes all bytes and sets `written` to the number of bytes written. If `stopOnInput` is set,
+    // write() returns Ok early once the peer has sent bytes, so that the writer detects an early
+    // response.
     io_status write(std::string_view bytes, size_t &written, steady_time until,
                     bool stopOnInput = false);
-    // Waits until `until` or until the peer closes the connection; true in the latter case.
+    // Waits until the peer closes the connection. Returns false if `until` passes first.
     bool waitClosed(steady_time until);
 
-    // Whether the peer ended its side of the connection in order, not by a reset.
-    bool endedInOrder() const { return m_endedInOrder; }
-    // Whether bytes can be read, or the connection has been closed by its peer.
+    // Returns whether the last read found that the peer had ended its sending direction without a
+    // reset.
+    bool wasClosedGracefully() const { return m_wasClosedGracefully; }
+    // Returns whether bytes can be read or the peer has closed the connection.
     bool hasInput();
-    // Ends both directions; wakes a thread that waits in this stream. May be called by any thread.
+    // Shuts down both directions, which wakes a thread that waits in this stream. Any thread may
+    // call shutdown().
     void shutdown();
-    // Ends the sending direction. The input is then to be discarded until the peer closes: closing
-    // with unread input would reset the connection, and the peer could lose an answer sent before.
-    void endSending();
-    // Discards the input that has arrived, in part if there is much. Closed once the peer has ended
-    // its side; Ok otherwise.
+    // Shuts down the sending direction. Afterwards, discard the input until the peer closes the
+    // connection: closing a connection with unread input would reset it, and the peer could lose a
+    // response that was sent before.
+    void shutdownSending();
+    // Discards the buffered input and at most 4 KiB of further input, without waiting. Returns
+    // Closed once the peer has ended its sending direction or reset the connection, Ok otherwise.
     io_status discardInput();
     int descriptor() const { return m_descriptor; }
-    // Gives back the memory of the buffer if nothing in it is unread; for idle connections, of
-    // which there may be hundreds.
+    // Frees the memory of the buffer if the buffer holds no unread bytes. Call releaseBuffer() for
+    // idle connections, of which there may be hundreds.
     void releaseBuffer();
 
 private:
+    // Waits for `events` of poll(2) on the connection.
     io_status wait(short events, steady_time until);
-    io_status fill(steady_time until);
+    // Appends received bytes to the buffer, waiting for them if none have arrived.
+    io_status fillBuffer(steady_time until);
 
     Poco::Net::StreamSocket m_socket;
     int m_descriptor;
     http_stream *m_watched = nullptr;
-    bool m_endedInOrder = false;
-    bool m_lastReadWasFull = false;
+    bool m_wasClosedGracefully = false;
+    bool m_wasLastReadFull = false;
     std::string m_buffer;
+    // Offset of the first unread byte in m_buffer.
     size_t m_position = 0;
 };
 
-// Reads one body and knows whether it was complete. Not thread safe.
+// Reads one body and detects whether it is complete. Not thread safe.
 class body_reader
 {
 public:
     body_reader(http_stream &stream, body_framing framing);
 
-    // Replaces `piece` with the next bytes of the body; empty at its regular end. Closed means that
-    // the connection ended before the body did.
+    // Replaces `piece` with the next bytes of the body. With Ok, an empty piece marks the regular
+    // end of the body. Returns Closed if the connection ended before the body.
     io_status read(std::string &piece, steady_time until);
-    // Whether the whole body was read.
-    bool isComplete() const { return m_complete; }
+    // Returns whether the whole body was read.
+    bool isComplete() const { return m_isComplete; }
     const body_framing &framing() const { return m_framing; }
 
 private:
+    // Reads the line with the size of the next chunk; for the last chunk, the trailers too.
     io_status readChunkHeader(steady_time until);
     io_status readTrailers(steady_time until);
 
     http_stream &m_stream;
     body_framing m_framing;
-    // Bytes left in the body or in the current chunk.
-    uint64_t m_left = 0;
-    bool m_inChunk = false;
-    bool m_complete = false;
+    // Number of unread bytes of the body or of the current chunk.
+    uint64_t m_remaining = 0;
+    bool m_isInChunk = false;
+    bool m_isComplete = false;
 };
 
-// Frames pieces of a body for the given framing; an empty piece is never framed as the end.
+// Returns `piece` in the chunked framing. `piece` must not be empty, because an empty chunk marks
+// the end of a body.
 std::string frameChunk(std::string_view piece);
+// Marks the end of a body in the chunked framing.
 inline constexpr std::string_view lastChunk = "0\r\n\r\n";
 
-// Parse heads into Poco's message classes. Errors: Malformed.
+// Parse a request or response head into a Poco message. Return Malformed for an invalid head.
 io_status parseRequest(const std::string &head, Poco::Net::HTTPRequest &request);
 io_status parseResponse(const std::string &head, Poco::Net::HTTPResponse &response);
-// Determine the framing of a body. Errors: Malformed for contradictory or repeated fields, and for
-// requests that do not name exactly one host.
+// Determine the framing of the body of a request, or of the response to a request with `method`.
+// Return Malformed for contradictory, repeated or unknown framing fields, and for a request without
+// exactly one Host field.
 io_status requestFraming(const Poco::Net::HTTPRequest &request, body_framing &framing);
 io_status responseFraming(const Poco::Net::HTTPResponse &response, const std::string &method,
                           body_framing &framing);
-// Sets the framing fields of a message, replacing those it has.
+// Replaces the framing fields of a message.
 void setFraming(Poco::Net::HTTPMessage &message, const body_framing &framing);
-// Removes fields that concern one connection only (RFC 9110, section 7.6.1).
+// Removes the header fields that apply to a single connection only (RFC 9110, section 7.6.1).
 void removeConnectionFields(Poco::Net::HTTPMessage &message);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/http/server_exchange.cpp
+++ b/src/persimmonrail/http/server_exchange.cpp
@@ -16,24 +16,24 @@
 
 io_status server_exchange::read(std::string &piece, steady_time until)
 {
-    if (m_replayKept) {
-        m_replayKept = false;
-        piece = m_kept;
-        if (m_kept.size() > bodyPieceBytes) {
-            m_keptAll = false;
-            std::string().swap(m_kept);
+    if (m_shouldReplayBuffer) {
+        m_shouldReplayBuffer = false;
+        piece = m_bufferedBody;
+        if (m_bufferedBody.size() > bodyPieceBytes) {
+            m_canReplayBody = false;
+            std::string().swap(m_bufferedBody);
         }
         if (!piece.empty()) {
             return io_status::Ok;
         }
     }
-    const io_status status = readNext(piece, until);
-    if (status == io_status::Ok && m_keptAll) {
-        if (m_kept.size() + piece.size() <= bodyPieceBytes) {
-            m_kept += piece;
+    const io_status status = readFromConnection(piece, until);
+    if (status == io_status::Ok && m_canReplayBody) {
+        if (m_bufferedBody.size() + piece.size() <= bodyPieceBytes) {
+            m_bufferedBody += piece;
         } else {
-            m_keptAll = false;
-            std::string().swap(m_kept);
+            m_canReplayBody = false;
+            std::string().swap(m_bufferedBody);
         }
     }
     return status;
@@ -43,21 +43,21 @@
 {
     std::string piece;
     io_status status = io_status::Ok;
-    while (status == io_status::Ok && m_kept.size() < bytes && !m_reader.isComplete()) {
-        status = readNext(piece, until);
+    while (status == io_status::Ok && m_bufferedBody.size() < bytes && !m_reader.isComplete()) {
+        status = readFromConnection(piece, until);
         if (status == io_status::Ok) {
-            m_kept += piece;
+            m_bufferedBody += piece;
         }
     }
-    m_replayKept = true;
-    first = m_kept;
+    m_shouldReplayBuffer = true;
+    first = m_bufferedBody;
     return status;
 }
 
-io_status server_exchange::readNext(std::string &piece, steady_time until)
+io_status server_exchange::readFromConnection(std::string &piece, steady_time until)
 {
-    if (!m_continueSent && !m_reader.isComplete()) {
-        m_continueSent = true;
+    if (!m_hasSentContinue && !m_reader.isComplete()) {
+        m_hasSentContinue = true;
         if (m_request.getExpectContinue() && !m_stream.hasInput()
             && !send("HTTP/1.1 100 Continue\r\n\r\n")) {
             return io_status::Closed;
@@ -68,8 +68,8 @@
 
 bool server_exchange::rewind()
 {
-    m_replayKept = m_keptAll;
-    return m_keptAll;
+    m_shouldReplayBuffer = m_canReplayBody;
+    return m_canReplayBody;
 }
 
 io_status server_exchange::readAll(std::string &body, size_t maxBytes, steady_time until)
@@ -93,7 +93,7 @@
 
 bool server_exchange::send(std::string_view bytes)
 {
-    // Each write must make progress within the idle timeout, however long the whole answer takes.
+    // The idle timeout applies to each write, not to the whole response.
     while (!bytes.empty()) {
         size_t written = 0;
         const io_status status =
@@ -122,8 +122,8 @@
 
 bool server_exchange::beginResponse(Poco::Net::HTTPResponse &head, const body_framing &framing)
 {
-    m_responseStarted = true;
-    // A small body that was not read is discarded, so that the connection can be used again.
+    m_hasResponseStarted = true;
+    // An unread small body is discarded, so that the connection can be reused.
     if (!m_reader.isComplete() && m_reader.framing().type == body_framing::kind::Length
         && m_reader.framing().length <= bodyPieceBytes && !m_request.getExpectContinue()) {
         std::string piece;
@@ -138,7 +138,7 @@
     m_responseFraming = framing;
     if (m_request.getMethod() == Poco::Net::HTTPRequest::HTTP_HEAD || status == 204
         || status == 304) {
-        // The fields describe the body that a GET would have got.
+        // The response has no body. Its fields describe the body of the response to a GET.
         m_responseFraming = {};
     } else {
         setFraming(head, framing);
@@ -153,7 +153,7 @@
     if (piece.empty() || m_responseFraming.type == body_framing::kind::None) {
         return true;
     }
-    m_responseBytes += piece.size();
+    m_sentBodyBytes += piece.size();
     return m_responseFraming.type == body_framing::kind::Chunked ? send(frameChunk(piece))
                                                                  : send(piece);
 }
@@ -163,14 +163,14 @@
     if (m_responseFraming.type == body_framing::kind::Chunked && !send(lastChunk)) {
         return false;
     }
-    m_responseEnded = m_responseFraming.type != body_framing::kind::Length
-        || m_responseBytes == m_responseFraming.length;
-    return m_responseEnded;
+    m_hasResponseEnded = m_responseFraming.type != body_framing::kind::Length
+        || m_sentBodyBytes == m_responseFraming.length;
+    return m_hasResponseEnded;
 }
 
-bool server_exchange::finish()
+bool server_exchange::canReuseConnection()
 {
-    return m_responseEnded && m_keepAlive && m_reader.isComplete();
+    return m_hasResponseEnded && m_keepAlive && m_reader.isComplete();
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/http/simple_request.cpp
+++ b/src/persimmonrail/http/simple_request.cpp
@@ -3,6 +3,7 @@
 namespace persimmonrail {
 namespace {
 
+// Maximum size of a response body.
 constexpr size_t maxSimpleResponseBytes = 1024 * 1024;
 
 class memory_body : public body_source
@@ -14,19 +15,19 @@
     body_framing framing() const override { return {body_framing::kind::Length, m_body.size()}; }
     io_status read(std::string &piece, steady_time) override
     {
-        piece = m_read ? std::string() : m_body;
-        m_read = true;
+        piece = m_wasRead ? std::string() : m_body;
+        m_wasRead = true;
         return io_status::Ok;
     }
     bool rewind() override
     {
-        m_read = false;
+        m_wasRead = false;
         return true;
     }
 
 private:
     const std::string &m_body;
-    bool m_read = false;
+    bool m_wasRead = false;
 };
 
 class memory_sink : public response_sink
--- a/src/persimmonrail/http/tests/http_test.cpp
+++ b/src/persimmonrail/http/tests/http_test.cpp
@@ -18,12 +18,12 @@
 
 namespace {
 
-// Long enough for any machine; only tests of timeouts use shorter ones.
-constexpr milliseconds generous{60'000};
+// Never expires in a passing test, even on a slow machine. Only tests of timeouts use shorter ones.
+constexpr milliseconds testTimeout{60'000};
 
-steady_time after(milliseconds time)
+steady_time timeAfter(milliseconds delay)
 {
-    return std::chrono::steady_clock::now() + time;
+    return std::chrono::steady_clock::now() + delay;
 }
 
 class recording_sink : public response_sink
@@ -56,15 +56,16 @@
     client_request request;
     request.address = address;
     request.message.setURI("/x");
-    request.deadline = after(generous);
+    request.deadline = timeAfter(testTimeout);
     return request;
 }
 
+// Starts a server that responds with the body of the request.
 std::unique_ptr<http_server> echoServer(const http_server_options &options = {})
 {
     auto server = http_server::listen(options, [](server_exchange &exchange) {
         std::string body;
-        if (exchange.readAll(body, 16 * 1024 * 1024, after(generous)) == io_status::Ok) {
+        if (exchange.readAll(body, 16 * 1024 * 1024, timeAfter(testTimeout)) == io_status::Ok) {
             exchange.respond(200, body, "text/plain");
         } else {
             exchange.closeAfterResponse();
@@ -75,7 +76,7 @@
     return *std::move(server);
 }
 
-// Threads of this process.
+// Returns the number of threads of this process.
 int threadCount()
 {
     const std::filesystem::directory_iterator tasks("/proc/self/task");
@@ -84,9 +85,9 @@
 
 } // namespace
 
-// Guards against requests that two hops would split differently, and against crashes on input that
-// is not HTTP.
-TEST_CASE("malformed requests are refused", "[http]")
+// Guards against requests whose end two hops determine differently, and against crashes on input
+// that is not HTTP.
+TEST_CASE("malformed requests are rejected", "[http]")
 {
     const auto server = echoServer();
     struct
@@ -118,7 +119,7 @@
         {"no host", "GET / HTTP/1.1\r\n\r\n", "HTTP/1.1 400"},
         {"authority form", "GET example:80 HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 400"},
         {"unknown version", "GET / HTTP/3.7\r\nHost: a\r\n\r\n", "HTTP/1.1 400"},
-        {"old version", "GET / HTTP/1.0\r\nHost: a\r\n\r\n", "HTTP/1.1 505"},
+        {"HTTP/1.0", "GET / HTTP/1.0\r\nHost: a\r\n\r\n", "HTTP/1.1 505"},
         {"oversized head",
          "GET / HTTP/1.1\r\nHost: a\r\nX: " + std::string(40'000, 'x') + "\r\n\r\n",
          "HTTP/1.1 431"},
@@ -140,8 +141,9 @@
     CHECK(exchangeBytes(server->address(), valid).substr(0, 12) == "HTTP/1.1 200");
 }
 
-// Guards against an answer that is passed on as whole although its connection broke off.
-TEST_CASE("the client tells whole answers from truncated ones", "[http]")
+// Guards against a truncated response that is forwarded as complete after its connection closed
+// early.
+TEST_CASE("the client distinguishes complete responses from truncated ones", "[http]")
 {
     const std::string ok = "HTTP/1.1 200 OK\r\n";
     struct
@@ -156,19 +158,19 @@
         {"chunks",
          ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=1\r\nllo\r\n0\r\nT: 1\r\n\r\n",
          exchange_state::Complete, "hello"},
-        {"interim answer", "HTTP/1.1 102 Processing\r\n\r\n" + ok + "Content-Length: 2\r\n\r\nok",
+        {"interim response", "HTTP/1.1 102 Processing\r\n\r\n" + ok + "Content-Length: 2\r\n\r\nok",
          exchange_state::Complete, "ok"},
         {"short length", ok + "Content-Length: 6\r\n\r\nhello", exchange_state::Truncated, ""},
-        {"cut in chunk", ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nhel",
+        {"truncated chunk", ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nhel",
          exchange_state::Truncated, ""},
         {"no last chunk", ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
          exchange_state::Truncated, ""},
-        {"cut in last chunk", ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n",
+        {"truncated last chunk", ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n",
          exchange_state::Truncated, ""},
         {"no framing", ok + "\r\nhello", exchange_state::Truncated, ""},
-        {"cut in head", ok + "Content-Le", exchange_state::NoResponse, ""},
-        {"no HTTP", "what?\r\n\r\n", exchange_state::Truncated, ""},
-        {"nothing", "", exchange_state::NoResponse, ""},
+        {"truncated head", ok + "Content-Le", exchange_state::NoResponse, ""},
+        {"not HTTP", "what?\r\n\r\n", exchange_state::Truncated, ""},
+        {"no bytes", "", exchange_state::NoResponse, ""},
     };
     for (const auto &row : table) {
         CAPTURE(row.name);
@@ -185,15 +187,15 @@
     }
 }
 
-// Guards against running a request twice: bytes of a request that may not be repeated must not be
-// sent again when a reused connection turns out to be closed.
-TEST_CASE("a closed reused connection is replaced only where that is safe", "[http]")
+// Guards against running a request twice: if a reused connection is found closed after bytes of a
+// request that may not be repeated were sent, the client must not send the request again.
+TEST_CASE("a closed reused connection is replaced only if resending is safe", "[http]")
 {
     struct
     {
         const char *name;
         bool repeatable;
-        bool closeWhileIdle;
+        bool closesWhileIdle;
         exchange_state state;
     } const table[] = {
         {"repeatable", true, false, exchange_state::Complete},
@@ -205,13 +207,13 @@
         scripted_server server([&](Poco::Net::StreamSocket &socket, int index) {
             readHeadText(socket);
             sendText(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
-            if (index > 0 || !row.closeWhileIdle) {
+            if (index > 0 || !row.closesWhileIdle) {
                 readHeadText(socket);
             }
         });
         connection_pool_options options;
-        options.freshTime = generous;
-        options.idleTime = generous;
+        options.nonRepeatableIdleTimeout = testTimeout;
+        options.idleTime = testTimeout;
         const auto pool = std::make_shared<connection_pool>(options);
         http_client client(pool);
         recording_sink sink;
@@ -219,7 +221,7 @@
         request.repeatable = row.repeatable;
         REQUIRE(client.exchange(request, sink).state == exchange_state::Complete);
         REQUIRE(pool->idleCount() == 1);
-        if (row.closeWhileIdle) {
+        if (row.closesWhileIdle) {
             server.waitClosed(1);
         }
         CHECK(toString(client.exchange(request, sink).state) == toString(row.state));
@@ -227,38 +229,40 @@
     }
 }
 
-// Guards P4: a request that was sent and whose second attempt was refused may have run.
-TEST_CASE("a refused second attempt does not hide that the first one was sent", "[http]")
+// Guards P4 (a request reported as not run did not run): the first attempt sent the request, which
+// may have run, and the connection of the second attempt is refused.
+TEST_CASE("a refused second attempt does not hide that the first attempt sent the request",
+          "[http]")
 {
-    class closing_body : public body_source
+    class server_stopping_body : public body_source
     {
     public:
         body_framing framing() const override { return {body_framing::kind::Length, 1}; }
         io_status read(std::string &piece, steady_time) override
         {
-            piece = m_read ? "" : "x";
-            m_read = true;
+            piece = m_wasRead ? "" : "x";
+            m_wasRead = true;
             return io_status::Ok;
         }
         bool rewind() override
         {
             server.reset();
-            m_read = false;
+            m_wasRead = false;
             return true;
         }
         std::unique_ptr<scripted_server> server;
 
     private:
-        bool m_read = false;
+        bool m_wasRead = false;
     };
-    closing_body body;
+    server_stopping_body body;
     body.server = std::make_unique<scripted_server>([](Poco::Net::StreamSocket &socket, int) {
         readHeadText(socket);
         sendText(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na");
         readHeadText(socket);
     });
     connection_pool_options options;
-    options.idleTime = generous;
+    options.idleTime = testTimeout;
     http_client client(std::make_shared<connection_pool>(options));
     recording_sink sink;
     client_request request = requestTo(body.server->address());
@@ -268,12 +272,12 @@
     CHECK(toString(client.exchange(request, sink).state) == toString(exchange_state::NoResponse));
 }
 
-// Guards against waiting for a silent peer beyond the deadline, and against giving up a peer that
-// is merely slow.
-TEST_CASE("a silent connection ends at the deadline or by the probe", "[http]")
+// Guards against waiting for an unresponsive peer beyond the deadline, and against abandoning a
+// connection whose peer is merely slow.
+TEST_CASE("an unresponsive connection fails at the deadline or after a successful probe", "[http]")
 {
-    for (const bool probeResponds : {false, true}) {
-        CAPTURE(probeResponds);
+    for (const bool probeSucceeds : {false, true}) {
+        CAPTURE(probeSucceeds);
         scripted_server server([](Poco::Net::StreamSocket &socket, int) {
             readHeadText(socket);
             readHeadText(socket);
@@ -281,18 +285,18 @@
         http_client client(std::make_shared<connection_pool>());
         recording_sink sink;
         client_request request = requestTo(server.address());
-        request.deadline = after(probeResponds ? generous : 100ms);
+        request.deadline = timeAfter(probeSucceeds ? testTimeout : 100ms);
         request.progressTimeout = 20ms;
-        request.probe = [probeResponds] { return probeResponds; };
+        request.probe = [probeSucceeds] { return probeSucceeds; };
         const exchange_state expected =
-            probeResponds ? exchange_state::Silent : exchange_state::TimedOut;
+            probeSucceeds ? exchange_state::Silent : exchange_state::TimedOut;
         CHECK(toString(client.exchange(request, sink).state) == toString(expected));
     }
 }
 
-// Guards against idle connections that use up the descriptors, and against reusing one that its
-// server is about to close.
-TEST_CASE("idle connections are bounded in number and age", "[http]")
+// Guards against idle connections that exhaust the descriptors, and against the reuse of a
+// connection that its server is about to close.
+TEST_CASE("idle connections are limited in number and idle time", "[http]")
 {
     scripted_server server([](Poco::Net::StreamSocket &socket, int) { readHeadText(socket); });
     connection_pool_options options;
@@ -302,7 +306,7 @@
     const steady_time start = std::chrono::steady_clock::now();
     const auto release = [&](int count, steady_time now) {
         for (int i = 0; i < count; ++i) {
-            auto connection = pool.connect(server.address(), after(generous));
+            auto connection = pool.connect(server.address(), timeAfter(testTimeout));
             REQUIRE(connection.ok());
             pool.release(*std::move(connection), now);
         }
@@ -322,10 +326,10 @@
         CAPTURE(row.age.count(), row.repeatable);
         pool.closeIdle(server.address());
         release(1, start);
-        const auto taken =
-            pool.acquire(server.address(), row.repeatable, start + row.age, after(generous));
-        REQUIRE(taken.ok());
-        CHECK(taken->reused == row.reused);
+        const auto acquired =
+            pool.acquire(server.address(), row.repeatable, start + row.age, timeAfter(testTimeout));
+        REQUIRE(acquired.ok());
+        CHECK(acquired->reused == row.reused);
         CHECK(pool.idleCount() == (row.reused ? 0 : 1));
     }
     pool.closeIdle(server.address());
@@ -339,8 +343,8 @@
 {
     std::string address;
     {
-        const scripted_server gone([](Poco::Net::StreamSocket &, int) {});
-        address = gone.address();
+        const scripted_server closedServer([](Poco::Net::StreamSocket &, int) {});
+        address = closedServer.address();
     }
     http_client client(std::make_shared<connection_pool>());
     recording_sink sink;
@@ -348,37 +352,37 @@
 }
 
 // Guards against an unbounded number of threads.
-TEST_CASE("connections beyond the limit are refused with an answer", "[http]")
+TEST_CASE("connections beyond the limit are rejected with a response", "[http]")
 {
     http_server_options options;
     options.maxConnections = 2;
-    options.crowdedIdleTimeout = generous;
+    options.crowdedIdleTimeout = testTimeout;
     const auto server = echoServer(options);
     const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
-    std::vector<Poco::Net::StreamSocket> held;
+    std::vector<Poco::Net::StreamSocket> openConnections;
     for (int i = 0; i < options.maxConnections; ++i) {
-        held.emplace_back(Poco::Net::SocketAddress(server->address()));
-        sendText(held.back(), request);
-        CHECK(readHeadText(held.back()).substr(0, 12) == "HTTP/1.1 200");
+        openConnections.emplace_back(Poco::Net::SocketAddress(server->address()));
+        sendText(openConnections.back(), request);
+        CHECK(readHeadText(openConnections.back()).substr(0, 12) == "HTTP/1.1 200");
     }
-    const std::string refused = exchangeBytes(server->address(), "");
-    CHECK(refused.substr(0, 12) == "HTTP/1.1 503");
+    const std::string response = exchangeBytes(server->address(), "");
+    CHECK(response.substr(0, 12) == "HTTP/1.1 503");
     for (const char *field : {"Persimmonrail-Outcome: not-run", "Persimmonrail-Request-Id: ",
                               "Persimmonrail-Reason: too-many-connections", "{\"outcome\":"}) {
-        CAPTURE(field, refused);
-        CHECK(refused.find(field) != std::string::npos);
+        CAPTURE(field, response);
+        CHECK(response.find(field) != std::string::npos);
     }
-    CHECK(server->refusedConnections() == 1);
+    CHECK(server->rejectedConnections() == 1);
     CHECK(server->connectionCount() == options.maxConnections);
 }
 
-// Guards against field values that turn into further fields on the next hop: Poco decodes encoded
-// words, which may contain line endings.
-TEST_CASE("field values are passed on as they came", "[http]")
+// Guards against header injection: Poco decodes encoded words in field values, which may contain
+// line endings and thus add header fields at the next hop.
+TEST_CASE("field values are forwarded unchanged", "[http]")
 {
-    std::string seen;
+    std::string forwardedHead;
     scripted_server upstream([&](Poco::Net::StreamSocket &socket, int) {
-        seen = readHeadText(socket);
+        forwardedHead = readHeadText(socket);
         sendText(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     });
     auto server = http_server::listen({}, [&](server_exchange &exchange) {
@@ -393,127 +397,128 @@
     const std::string field = "X-Odd: =?us-ascii?Q?a=0D=0APersimmonrail-Term:_9?=\r\n";
     exchangeBytes((*server)->address(),
                   "GET / HTTP/1.1\r\nHost: a\r\n" + field + "Connection: close\r\n\r\n");
-    CHECK(seen.find(field) != std::string::npos);
-    CHECK(seen.find("\nPersimmonrail-Term") == std::string::npos);
+    CHECK(forwardedHead.find(field) != std::string::npos);
+    CHECK(forwardedHead.find("\nPersimmonrail-Term") == std::string::npos);
 }
 
-// Guards P7: a planned stop ends no request in progress and takes no new connection.
+// Guards P7: a planned stop interrupts no request in progress and accepts no new connection.
 TEST_CASE("a server that stops listening finishes its requests", "[http]")
 {
     std::mutex mutex;
-    std::condition_variable changed;
+    std::condition_variable stepChanged;
     int step = 0;
     auto server = http_server::listen({}, [&](server_exchange &exchange) {
         std::unique_lock lock(mutex);
         step = 1;
-        changed.notify_all();
-        changed.wait(lock, [&] { return step == 2; });
+        stepChanged.notify_all();
+        stepChanged.wait(lock, [&] { return step == 2; });
         exchange.respond(200, "whole", "text/plain");
     });
     REQUIRE(server.ok());
     const std::string address = (*server)->address();
     std::string response;
-    std::thread caller(
+    std::thread callerThread(
         [&] { response = exchangeBytes(address, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); });
     {
         std::unique_lock lock(mutex);
-        changed.wait(lock, [&] { return step == 1; });
+        stepChanged.wait(lock, [&] { return step == 1; });
     }
     (*server)->stopListening();
-    CHECK_FALSE((*server)->waitClosed(after(0ms)));
+    CHECK_FALSE((*server)->waitClosed(timeAfter(0ms)));
     http_client client(std::make_shared<connection_pool>());
     recording_sink sink;
     CHECK(client.exchange(requestTo(address), sink).state == exchange_state::NotSent);
     {
         const std::lock_guard lock(mutex);
         step = 2;
-        changed.notify_all();
+        stepChanged.notify_all();
     }
-    CHECK((*server)->waitClosed(after(generous)));
-    caller.join();
+    CHECK((*server)->waitClosed(timeAfter(testTimeout)));
+    callerThread.join();
     CHECK(response.substr(response.size() - 5) == "whole");
 }
 
-// Guards against idle connections that keep new ones out.
-TEST_CASE("idle connections make room when the server is crowded", "[http]")
+// Guards against idle connections that prevent new ones.
+TEST_CASE("idle connections are closed early when the server is crowded", "[http]")
 {
     http_server_options options;
     options.maxConnections = 2;
-    options.idleTimeout = generous;
+    options.idleTimeout = testTimeout;
     options.crowdedIdleTimeout = 0ms;
     const auto server = echoServer(options);
-    std::vector<Poco::Net::StreamSocket> idle;
-    idle.reserve(options.maxConnections);
+    std::vector<Poco::Net::StreamSocket> connections;
+    connections.reserve(options.maxConnections);
     for (int i = 0; i < options.maxConnections; ++i) {
-        idle.emplace_back(Poco::Net::SocketAddress(server->address()));
+        connections.emplace_back(Poco::Net::SocketAddress(server->address()));
     }
-    // Returns only once the server has closed the connection.
-    CHECK(readToEnd(idle.front()).empty());
+    // readToEnd() returns only after the server has closed the connection.
+    CHECK(readToEnd(connections.front()).empty());
 }
 
-// Load pattern: hundreds of connections stay idle for long. Each look at one of them wakes a
-// thread.
-TEST_CASE("idle connections wait long, and a stop ends them at once", "[http]")
+// Guards against periodic checks of idle connections: with hundreds of connections that are idle
+// for a long time, each check of a connection would wake a thread.
+TEST_CASE("idle connections are checked rarely, and a stop closes them promptly", "[http]")
 {
     http_server_options options;
     options.idleTimeout = 60s;
     const auto server = echoServer(options);
-    std::vector<Poco::Net::StreamSocket> idle;
+    std::vector<Poco::Net::StreamSocket> connections;
     for (int i = 0; i < 8; ++i) {
-        idle.emplace_back(Poco::Net::SocketAddress(server->address()));
-        sendText(idle.back(), "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-        readHeadText(idle.back());
+        connections.emplace_back(Poco::Net::SocketAddress(server->address()));
+        sendText(connections.back(), "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
+        readHeadText(connections.back());
     }
-    rusage before{};
-    rusage later{};
-    ::getrusage(RUSAGE_SELF, &before);
+    rusage usageBefore{};
+    rusage usageAfter{};
+    ::getrusage(RUSAGE_SELF, &usageBefore);
     std::this_thread::sleep_until(std::chrono::steady_clock::now() + 1s);
-    ::getrusage(RUSAGE_SELF, &later);
-    // Four looks a second at each of them would be 32.
-    CHECK(later.ru_nvcsw - before.ru_nvcsw < 16);
-    const steady_time begun = std::chrono::steady_clock::now();
+    ::getrusage(RUSAGE_SELF, &usageAfter);
+    // Four checks a second of each of the 8 connections would cause 32 context switches.
+    CHECK(usageAfter.ru_nvcsw - usageBefore.ru_nvcsw < 16);
+    const steady_time start = std::chrono::steady_clock::now();
     server->stopListening();
-    CHECK(server->waitClosed(after(generous)));
-    CHECK(std::chrono::steady_clock::now() - begun < 1900ms);
+    CHECK(server->waitClosed(timeAfter(testTimeout)));
+    CHECK(std::chrono::steady_clock::now() - start < 1900ms);
 }
 
-// Load pattern: hundreds of callers and daemons keep their connections between requests. Memory and
-// the system's number of threads are bounded by the requests in progress, not by the connections.
-TEST_CASE("idle connections hold no thread", "[http]")
+// Guards against a thread for each connection: hundreds of callers and daemons keep their
+// connections open between requests. The requests in progress, not the connections, bound the
+// memory and the number of threads.
+TEST_CASE("idle connections use no thread", "[http]")
 {
     constexpr int connectionCount = 100;
     http_server_options options;
-    options.idleTimeout = generous;
+    options.idleTimeout = testTimeout;
     const auto server = echoServer(options);
-    std::vector<Poco::Net::StreamSocket> idle;
-    idle.reserve(connectionCount);
-    const auto askAll = [&] {
-        for (auto &socket : idle) {
+    std::vector<Poco::Net::StreamSocket> connections;
+    connections.reserve(connectionCount);
+    const auto requestAll = [&] {
+        for (auto &socket : connections) {
             sendText(socket, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
         }
-        for (auto &socket : idle) {
+        for (auto &socket : connections) {
             CHECK(readHeadText(socket).starts_with("HTTP/1.1 200"));
         }
     };
-    const int before = threadCount();
+    const int initialCount = threadCount();
     for (int i = 0; i < connectionCount; ++i) {
-        idle.emplace_back(Poco::Net::SocketAddress(server->address()));
+        connections.emplace_back(Poco::Net::SocketAddress(server->address()));
     }
-    askAll();
-    // Threads without work leave when others are asked for.
-    const steady_time end = after(generous);
-    while (threadCount() > before + 8 && std::chrono::steady_clock::now() < end) {
-        sendText(idle.front(), "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-        readHeadText(idle.front());
+    requestAll();
+    // The thread pool ends idle threads only when it starts a further request.
+    const steady_time end = timeAfter(testTimeout);
+    while (threadCount() > initialCount + 8 && std::chrono::steady_clock::now() < end) {
+        sendText(connections.front(), "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
+        readHeadText(connections.front());
         std::this_thread::sleep_for(50ms);
     }
-    CHECK(threadCount() <= before + 8);
+    CHECK(threadCount() <= initialCount + 8);
     CHECK(server->connectionCount() == connectionCount);
-    askAll();
+    requestAll();
 }
 
-// Guards against requests that get lost or mixed up on one connection.
-TEST_CASE("requests sent ahead on one connection are answered in order", "[http]")
+// Guards against pipelined requests that are lost or confused with each other.
+TEST_CASE("pipelined requests receive their responses in order", "[http]")
 {
     const auto server = echoServer();
     const std::string response = exchangeBytes(
@@ -521,26 +526,26 @@
         "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\none"
         "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ntwo\r\n0\r\n\r\n"
         "POST / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 5\r\n\r\nthree");
-    const size_t one = response.find("\r\n\r\none");
-    const size_t two = response.find("\r\n\r\ntwo", one);
-    CHECK(one != std::string::npos);
-    CHECK(two != std::string::npos);
-    CHECK(response.find("\r\n\r\nthree", two) != std::string::npos);
+    const size_t first = response.find("\r\n\r\none");
+    const size_t second = response.find("\r\n\r\ntwo", first);
+    CHECK(first != std::string::npos);
+    CHECK(second != std::string::npos);
+    CHECK(response.find("\r\n\r\nthree", second) != std::string::npos);
 }
 
-// Guards against requests that are cut by a graceful stop: connections that wait in a queue when
-// the listener closes, and callers that connect to a listener that nobody serves.
-TEST_CASE("stopListening serves earlier connections and refuses later ones", "[http]")
+// Guards against requests that a graceful stop interrupts: those on connections that are queued
+// when the listener closes, and those of callers that connect to a listener that accepts no more.
+TEST_CASE("stopListening serves earlier connections and rejects later ones", "[http]")
 {
     const auto server = echoServer();
     const Poco::Net::SocketAddress address(server->address());
-    std::vector<Poco::Net::StreamSocket> earlier;
-    earlier.reserve(50);
+    std::vector<Poco::Net::StreamSocket> connectedEarlier;
+    connectedEarlier.reserve(50);
     for (int i = 0; i < 50; ++i) {
-        earlier.emplace_back(address);
+        connectedEarlier.emplace_back(address);
     }
     server->stopListening();
-    for (auto &socket : earlier) {
+    for (auto &socket : connectedEarlier) {
         sendText(socket,
                  "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n"
                  "Connection: close\r\n\r\nbody");
--- a/src/persimmonrail/http/tests/unframed_response_test.cpp
+++ b/src/persimmonrail/http/tests/unframed_response_test.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-class keeping_sink : public response_sink
+class recording_sink : public response_sink
 {
 public:
-    bool begin(const Poco::Net::HTTPResponse &, const body_framing &passed, std::string_view first,
-               bool isComplete) override
+    bool begin(const Poco::Net::HTTPResponse &, const body_framing &bodyFraming,
+               std::string_view first, bool isComplete) override
     {
-        framing = passed;
-        whole = isComplete;
+        receivedFraming = bodyFraming;
+        wasCompleted = isComplete;
         text = first;
         return true;
     }
@@ -25,31 +25,34 @@
         text += piece;
         return true;
     }
-    bool finish() override { return whole = true; }
+    bool finish() override { return wasCompleted = true; }
 
-    body_framing framing;
+    body_framing receivedFraming;
     std::string text;
-    bool whole = false;
+    bool wasCompleted = false;
 };
 
-exchange_result request(const std::string &address, keeping_sink &sink, bool acceptsUnframed)
+// Sends a GET request to `address` and passes the response to `sink`.
+exchange_result exchangeWith(const std::string &address, recording_sink &sink, bool acceptsUnframed)
 {
     http_client client(std::make_shared<connection_pool>());
-    client_request call;
-    call.address = address;
-    call.message.setMethod("GET");
-    call.message.setURI("/");
-    call.acceptsUnframed = acceptsUnframed;
-    call.deadline = std::chrono::steady_clock::now() + 10s;
-    return client.exchange(call, sink);
+    client_request request;
+    request.address = address;
+    request.message.setMethod("GET");
+    request.message.setURI("/");
+    request.acceptsUnframed = acceptsUnframed;
+    request.deadline = std::chrono::steady_clock::now() + 10s;
+    return client.exchange(request, sink);
 }
 
-scripted_server::script responding(size_t bytes, bool reset)
+// Returns a script that responds with a body of `bytes` bytes without a length, and then closes or
+// resets the connection.
+scripted_server::script respondUnframed(size_t bytes, bool shouldReset)
 {
-    return [bytes, reset](Poco::Net::StreamSocket &socket, int) {
+    return [bytes, shouldReset](Poco::Net::StreamSocket &socket, int) {
         readHeadText(socket);
         sendText(socket, "HTTP/1.1 200 OK\r\n\r\n" + std::string(bytes, 'x'));
-        if (reset) {
+        if (shouldReset) {
             socket.setLinger(true, 0);
             socket.close();
         }
@@ -58,31 +61,32 @@
 
 } // namespace
 
-// Guards against an upstream's answer that is thrown away because it ends with its connection.
-TEST_CASE("an answer may end with its connection", "[http]")
+// Guards against the rejection of a complete response of an upstream that marks its end by closing
+// the connection.
+TEST_CASE("the close of the connection may mark the end of a response", "[http]")
 {
     const size_t bytes = GENERATE(5U, 200'000U);
-    scripted_server server(responding(bytes, false));
-    keeping_sink sink;
-    CHECK(request(server.address(), sink, true).state == exchange_state::Complete);
-    CHECK(sink.whole);
+    scripted_server server(respondUnframed(bytes, false));
+    recording_sink sink;
+    CHECK(exchangeWith(server.address(), sink, true).state == exchange_state::Complete);
+    CHECK(sink.wasCompleted);
     CHECK(sink.text.size() == bytes);
-    CHECK(sink.framing.type == body_framing::kind::Chunked);
+    CHECK(sink.receivedFraming.type == body_framing::kind::Chunked);
 }
 
-// Guards against a broken answer that looks complete.
-TEST_CASE("an answer without length whose connection is reset is not whole", "[http]")
+// Guards against a truncated response that is reported as complete.
+TEST_CASE("a response without a length is incomplete if its connection is reset", "[http]")
 {
     const size_t bytes = GENERATE(5U, 200'000U);
-    scripted_server server(responding(bytes, true));
-    keeping_sink sink;
-    CHECK(request(server.address(), sink, true).state != exchange_state::Complete);
-    CHECK_FALSE(sink.whole);
+    scripted_server server(respondUnframed(bytes, true));
+    recording_sink sink;
+    CHECK(exchangeWith(server.address(), sink, true).state != exchange_state::Complete);
+    CHECK_FALSE(sink.wasCompleted);
 }
 
-TEST_CASE("answers without length are refused unless they are expected", "[http]")
+TEST_CASE("responses without a length are rejected unless the request accepts them", "[http]")
 {
-    scripted_server server(responding(5, false));
-    keeping_sink sink;
-    CHECK(request(server.address(), sink, false).state == exchange_state::Truncated);
+    scripted_server server(respondUnframed(5, false));
+    recording_sink sink;
+    CHECK(exchangeWith(server.address(), sink, false).state == exchange_state::Truncated);
 }
