--- a/src/persimmonrail/sync/fleet_view.cpp
+++ b/src/persimmonrail/sync/fleet_view.cpp
@@ -28,19 +28,21 @@
     }
     member.id.incarnation = *incarnation;
     if (member.id.name.empty() || member.id.incarnation == 0) {
-        return absl::InvalidArgumentError("member without name or incarnation");
+        return absl::InvalidArgumentError("the member record has no name or no incarnation");
     }
     if (member.availabilityZone.empty() || member.controlAddress.empty()
         || member.peerAddress.empty()) {
-        return absl::InvalidArgumentError("member without availability zone or address");
+        return absl::InvalidArgumentError(
+            "the member record has no availability zone, control address or peer address");
     }
     if (member.slots < 0) {
-        return absl::InvalidArgumentError("member with a negative number of slots");
+        return absl::InvalidArgumentError("the member record has a negative number of slots");
     }
     return member;
 }
 
-bool startsBefore(const versioned_record *left, const versioned_record *right)
+// Orders ranges before single keys, and each group by first hash.
+bool precedes(const versioned_record *left, const versioned_record *right)
 {
     const auto &leftRange = left->record.range;
     const auto &rightRange = right->record.range;
@@ -83,25 +85,25 @@
         return nullptr;
     }
     const auto &records = entry->second;
-    const auto singles =
+    const auto firstSingleKey =
         std::partition_point(records.begin(), records.end(), [](const versioned_record *record) {
             return !record->record.range.isSingleKey();
         });
-    const auto single = std::lower_bound(singles, records.end(), hash,
-                                         [](const versioned_record *record, uint64_t value) {
-                                             return record->record.range.first < value;
-                                         });
-    if (single != records.end() && (*single)->record.range.first == hash) {
-        return *single;
+    const auto singleKey = std::lower_bound(firstSingleKey, records.end(), hash,
+                                            [](const versioned_record *record, uint64_t value) {
+                                                return record->record.range.first < value;
+                                            });
+    if (singleKey != records.end() && (*singleKey)->record.range.first == hash) {
+        return *singleKey;
     }
-    const auto after = std::upper_bound(records.begin(), singles, hash,
-                                        [](uint64_t value, const versioned_record *record) {
-                                            return value < record->record.range.first;
-                                        });
-    if (after == records.begin() || !(*std::prev(after))->record.range.contains(hash)) {
+    const auto nextRange = std::upper_bound(records.begin(), firstSingleKey, hash,
+                                            [](uint64_t value, const versioned_record *record) {
+                                                return value < record->record.range.first;
+                                            });
+    if (nextRange == records.begin() || !(*std::prev(nextRange))->record.range.contains(hash)) {
         return nullptr;
     }
-    return *std::prev(after);
+    return *std::prev(nextRange);
 }
 
 const member_record *fleet_view::findMember(const instance_id &id) const
@@ -124,12 +126,12 @@
 void indexRecords(fleet_view &view)
 {
     view.recordsByService.clear();
-    std::string_view last;
+    std::string_view previousService;
     for (const auto &[partition, record] : view.records) {
         const auto service = serviceOfPartition(partition);
-        if (service != last) {
+        if (service != previousService) {
             indexRecords(view, service);
-            last = service;
+            previousService = service;
         }
     }
 }
@@ -142,7 +144,7 @@
          entry != view.records.end() && entry->first.starts_with(prefix); ++entry) {
         records.push_back(&entry->second);
     }
-    std::sort(records.begin(), records.end(), startsBefore);
+    std::sort(records.begin(), records.end(), precedes);
     if (records.empty()) {
         view.recordsByService.erase(std::string(service));
     } else {
--- a/src/persimmonrail/sync/fleet_view.h
+++ b/src/persimmonrail/sync/fleet_view.h
@@ -13,56 +13,61 @@
 
 namespace persimmonrail {
 
-// One daemon and the upstream beside it, as stored under "member/<instance name>".
+// Describes one daemon and its local upstream, as stored under the key "member/<instance name>".
 struct member_record
 {
     instance_id id;
     std::string region;
     std::string availabilityZone;
-    // Service of the upstream beside the daemon; empty if the daemon only routes.
+    // Service of the local upstream; empty if the daemon has no upstream and only routes requests.
     std::string service;
-    // "ip:port" for requests from other daemons.
+    // Address in the form "ip:port" for requests from other daemons.
     std::string peerAddress;
-    // "ip:port" for control messages from other daemons.
+    // Address in the form "ip:port" for control messages from other daemons.
     std::string controlAddress;
-    // Requests that the upstream runs at a time.
+    // Maximum number of requests that the local upstream runs concurrently.
     int slots = 0;
 
     bool operator==(const member_record &) const = default;
 };
 
+// Returns the key under which the record of a member is stored.
 std::string memberKey(std::string_view instanceName);
+// Returns the member record as JSON text.
 std::string encodeMember(const member_record &member);
-// Errors: InvalidArgument.
+// Parses the text that encodeMember() returns. Errors: InvalidArgument if the text is not a valid
+// member record.
 absl::StatusOr<member_record> decodeMember(std::string_view text);
 
-// What a daemon knows of the fleet at one revision. Immutable once published, hence safe to share
-// between threads.
+// Holds the state of the fleet that a daemon knows at one revision. A published view is immutable
+// and may therefore be shared between threads.
 struct fleet_view
 {
-    // The view holds every write up to this platform version.
+    // The view reflects every write up to this version of the platform's store.
     uint64_t revision = 0;
-    // By instance name.
+    // Members by instance name.
     std::map<std::string, member_record, std::less<>> members;
     // Accepted documents by service.
     std::map<std::string, std::shared_ptr<const service_document>, std::less<>> documents;
-    // By partition name.
+    // Placement records by partition name.
     std::map<std::string, versioned_record, std::less<>> records;
-    // Records of each service: first the ranges, then the single-key records, each group ordered by
-    // first hash. Filled by indexRecords().
+    // Placement records by service: first the records of ranges, then those of single keys, each
+    // group ordered by first hash. indexRecords() fills this map; the pointers refer to `records`.
     std::map<std::string, std::vector<const versioned_record *>, std::less<>> recordsByService;
 
-    // Returns the record of the smallest range that contains the hash, or null if there is none.
+    // Returns the record of the smallest range that contains the hash, or null if no range contains
+    // the hash.
     const versioned_record *findRecord(std::string_view service, uint64_t hash) const;
-    // Returns null if the daemon is no member or runs under another incarnation.
+    // Returns null if the instance is not a member or runs under another incarnation.
     const member_record *findMember(const instance_id &id) const;
-    // Members whose upstream belongs to the service.
+    // Returns the members whose local upstream belongs to the service, ordered by instance name.
     std::vector<const member_record *> membersOf(std::string_view service) const;
 };
 
-// Fills `recordsByService` from `records`. The view must not be copied or moved afterwards.
+// Fills `recordsByService` from `records`. Pointers in a copy of the view still refer to the
+// original, so a copy must be indexed again, and the view must not be moved.
 void indexRecords(fleet_view &view);
-// Does so for one service.
+// Updates the entry of one service in `recordsByService`. The same restrictions apply.
 void indexRecords(fleet_view &view, std::string_view service);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/sync/object_replica.cpp
+++ b/src/persimmonrail/sync/object_replica.cpp
@@ -10,7 +10,7 @@
 namespace persimmonrail {
 namespace {
 
-// Floors are kept for this many instance names, about 1 MB.
+// Minimum revisions are kept for at most this many instance names, about 1 MB.
 constexpr size_t maxMinimumRevisions = 16384;
 
 stored_object fromWire(const wire::Object &object)
@@ -18,17 +18,18 @@
     return {object.key(), object.version(), object.deleted(), object.value()};
 }
 
-// A pull of the whole state in progress.
-struct staged_state
+// A pull of the whole state that is in progress.
+struct full_pull
 {
     versioned_objects objects;
-    // Known up to here, as far as the pages have come.
+    // Revision up to which the received pages are complete.
     uint64_t revision = 0;
-    // All deletions up to here have been taken into account by the pages so far, since their
-    // sources knew of them. Undefined before the first page.
-    uint64_t deletionsKnown = 0;
-    // The state is complete once it reaches the revision of each of its sources.
-    uint64_t completeAt = 0;
+    // The received pages reflect every deletion up to this revision, because the sender of each
+    // page knew of these deletions. Undefined before the first page.
+    uint64_t deletionsCompleteTo = 0;
+    // Highest revision of a sender. The state is complete once `revision` reaches this value.
+    uint64_t targetRevision = 0;
+    // Deletions up to this revision may be missing.
     uint64_t horizon = 0;
 };
 
@@ -38,26 +39,34 @@
 {
 public:
     explicit state(hooks hooks)
-        : views(std::move(hooks))
+        : viewBuilder(std::move(hooks))
     { }
 
+    // Stores the object if it is newer than the known version. Returns whether the object was
+    // stored.
     bool put(stored_object object, steady_time now);
-    bool applyIncrement(const wire::PullReply &reply, steady_time now);
-    bool applyPage(uint64_t afterRevision, const wire::PullReply &reply, steady_time now);
-    void adopt(const versioned_objects &source, uint64_t newRevision, uint64_t newHorizon,
-               steady_time now);
-    void noteRefusal();
-    uint64_t noteMinimumRevision(const instance_id &asking, uint64_t reported);
+    bool applyIncrementalReply(const wire::PullReply &reply, steady_time now);
+    bool applyFullPullPage(uint64_t afterRevision, const wire::PullReply &reply, steady_time now);
+    void replaceState(const versioned_objects &source, uint64_t newRevision, uint64_t newHorizon,
+                      steady_time now);
+    // Counts a reply that could not be applied for lack of tombstones, and starts a pull of the
+    // whole state after maxRejectedPullReplies consecutive rejected replies.
+    void recordRejectedReply();
+    // Stores the revision that an instance reported. Returns the highest revision that the instance
+    // had reported before, or 0 if none is known.
+    uint64_t recordReportedRevision(const instance_id &requester, uint64_t reported);
 
     versioned_objects objects;
     uint64_t revision = 0;
-    // Tombstones up to this revision may be missing.
+    // Tombstones up to this revision may be missing from `objects`.
     uint64_t horizon = 0;
-    bool ready = false;
-    int refusals = 0;
-    std::optional<staged_state> staged;
+    bool isReady = false;
+    // Consecutive replies that could not be applied for lack of tombstones.
+    int rejectedReplies = 0;
+    std::optional<full_pull> fullPull;
+    // Highest revision that each instance has reported, by instance name.
     std::unordered_map<std::string, uint64_t> minimumRevisions;
-    view_builder views;
+    view_builder viewBuilder;
 };
 
 bool object_replica::state::put(stored_object object, steady_time now)
@@ -66,59 +75,59 @@
     if (!objects.put(std::move(object), now)) {
         return false;
     }
-    views.noteChanged(key);
+    viewBuilder.markChanged(key);
     return true;
 }
 
-bool object_replica::state::applyIncrement(const wire::PullReply &reply, steady_time now)
+bool object_replica::state::applyIncrementalReply(const wire::PullReply &reply, steady_time now)
 {
     for (const auto &object : reply.objects()) {
         put(fromWire(object), now);
     }
     revision = reply.complete_to();
-    refusals = 0;
-    staged.reset();
+    rejectedReplies = 0;
+    fullPull.reset();
     return true;
 }
 
-bool object_replica::state::applyPage(uint64_t afterRevision, const wire::PullReply &reply,
-                                      steady_time now)
+bool object_replica::state::applyFullPullPage(uint64_t afterRevision, const wire::PullReply &reply,
+                                              steady_time now)
 {
-    if (afterRevision > staged->revision || reply.complete_to() <= staged->revision) {
+    if (afterRevision > fullPull->revision || reply.complete_to() <= fullPull->revision) {
         return false;
     }
-    const bool first = staged->revision == 0;
-    if (!first && reply.horizon() > staged->deletionsKnown) {
-        noteRefusal();
+    const bool isFirstPage = fullPull->revision == 0;
+    if (!isFirstPage && reply.horizon() > fullPull->deletionsCompleteTo) {
+        recordRejectedReply();
         return false;
     }
     for (const auto &object : reply.objects()) {
-        staged->objects.put(fromWire(object), now);
+        fullPull->objects.put(fromWire(object), now);
     }
-    refusals = 0;
-    staged->revision = reply.complete_to();
-    staged->deletionsKnown =
-        first ? reply.revision() : std::min(staged->deletionsKnown, reply.revision());
-    staged->completeAt = std::max(staged->completeAt, reply.revision());
-    staged->horizon = std::max(staged->horizon, reply.horizon());
-    if (staged->revision >= staged->completeAt && staged->revision > revision) {
-        adopt(staged->objects, staged->revision, staged->horizon, now);
+    rejectedReplies = 0;
+    fullPull->revision = reply.complete_to();
+    fullPull->deletionsCompleteTo =
+        isFirstPage ? reply.revision() : std::min(fullPull->deletionsCompleteTo, reply.revision());
+    fullPull->targetRevision = std::max(fullPull->targetRevision, reply.revision());
+    fullPull->horizon = std::max(fullPull->horizon, reply.horizon());
+    if (fullPull->revision >= fullPull->targetRevision && fullPull->revision > revision) {
+        replaceState(fullPull->objects, fullPull->revision, fullPull->horizon, now);
     }
     return true;
 }
 
-// Replaces the state by a complete one of a higher revision.
-void object_replica::state::adopt(const versioned_objects &source, uint64_t newRevision,
-                                  uint64_t newHorizon, steady_time now)
+// Replaces the state by the complete state `source`, whose revision must be higher.
+void object_replica::state::replaceState(const versioned_objects &source, uint64_t newRevision,
+                                         uint64_t newHorizon, steady_time now)
 {
-    std::vector<std::string> missing;
+    std::vector<std::string> deletedKeys;
     for (const auto &[key, object] : objects.byKey()) {
         if (!object.deleted && source.find(key) == nullptr) {
-            missing.push_back(key);
+            deletedKeys.push_back(key);
         }
     }
-    // The version of the deletion is unknown, but it is not above the revision of the new state.
-    for (auto &key : missing) {
+    // The version of each deletion is unknown, but not higher than the revision of the new state.
+    for (auto &key : deletedKeys) {
         put({std::move(key), newRevision, true, {}}, now);
     }
     for (const auto &[key, object] : source.byKey()) {
@@ -126,33 +135,34 @@
     }
     revision = newRevision;
     horizon = std::max(horizon, newHorizon);
-    refusals = 0;
-    staged.reset();
+    rejectedReplies = 0;
+    fullPull.reset();
 }
 
-void object_replica::state::noteRefusal()
+void object_replica::state::recordRejectedReply()
 {
-    ++refusals;
-    if (refusals >= refusalsBeforeWholePull) {
-        staged.emplace();
-        refusals = 0;
+    ++rejectedReplies;
+    if (rejectedReplies >= maxRejectedPullReplies) {
+        fullPull.emplace();
+        rejectedReplies = 0;
     }
 }
 
-uint64_t object_replica::state::noteMinimumRevision(const instance_id &asking, uint64_t reported)
+uint64_t object_replica::state::recordReportedRevision(const instance_id &requester,
+                                                       uint64_t reported)
 {
-    const auto entry = minimumRevisions.find(asking.name);
+    const auto entry = minimumRevisions.find(requester.name);
     if (entry != minimumRevisions.end()) {
-        const uint64_t before = entry->second;
-        entry->second = std::max(before, reported);
-        return before;
+        const uint64_t previous = entry->second;
+        entry->second = std::max(previous, reported);
+        return previous;
     }
     if (minimumRevisions.size() >= maxMinimumRevisions) {
         minimumRevisions.erase(
             std::min_element(minimumRevisions.begin(), minimumRevisions.end(),
                              [](auto &left, auto &right) { return left.second < right.second; }));
     }
-    minimumRevisions.emplace(asking.name, reported);
+    minimumRevisions.emplace(requester.name, reported);
     return 0;
 }
 
@@ -185,15 +195,15 @@
     }
 }
 
-size_t object_replica::tombstones() const
+size_t object_replica::tombstoneCount() const
 {
-    return m_state->objects.tombstones();
+    return m_state->objects.tombstoneCount();
 }
 
 wire::Pull object_replica::nextPull() const
 {
     wire::Pull pull;
-    pull.set_after_revision(m_state->staged ? m_state->staged->revision : m_state->revision);
+    pull.set_after_revision(m_state->fullPull ? m_state->fullPull->revision : m_state->revision);
     return pull;
 }
 
@@ -201,22 +211,23 @@
                                steady_time now)
 {
     auto &state = *m_state;
-    // A peer that is not ready states revision 0.
+    // A peer that is not ready sends revision 0.
     if (reply.revision() == 0) {
         return false;
     }
-    const bool advances = afterRevision <= state.revision && reply.complete_to() > state.revision;
-    if (advances && reply.horizon() <= state.revision) {
-        return state.applyIncrement(reply, now);
+    const bool advancesRevision =
+        afterRevision <= state.revision && reply.complete_to() > state.revision;
+    if (advancesRevision && reply.horizon() <= state.revision) {
+        return state.applyIncrementalReply(reply, now);
     }
-    if (!state.staged && state.revision == 0) {
-        state.staged.emplace();
+    if (!state.fullPull && state.revision == 0) {
+        state.fullPull.emplace();
     }
-    if (state.staged) {
-        return state.applyPage(afterRevision, reply, now);
+    if (state.fullPull) {
+        return state.applyFullPullPage(afterRevision, reply, now);
     }
-    if (advances) {
-        state.noteRefusal();
+    if (advancesRevision) {
+        state.recordRejectedReply();
     }
     return false;
 }
@@ -231,8 +242,8 @@
         state.put(object, now);
     }
     state.revision = changes.revision;
-    state.staged.reset();
-    state.refusals = 0;
+    state.fullPull.reset();
+    state.rejectedReplies = 0;
     return true;
 }
 
@@ -245,39 +256,42 @@
     for (const auto &object : list.objects) {
         source.put(object, now);
     }
-    m_state->adopt(source, list.revision, list.revision, now);
+    m_state->replaceState(source, list.revision, list.revision, now);
     return true;
 }
 
-wire::PullReply object_replica::respondToPull(const wire::Pull &pull, const instance_id &asking)
+wire::PullReply object_replica::respondToPull(const wire::Pull &pull, const instance_id &requester)
 {
     auto &state = *m_state;
     wire::PullReply reply;
-    reply.set_floor(state.noteMinimumRevision(asking, pull.after_revision()));
-    if (state.ready) {
+    reply.set_floor(state.recordReportedRevision(requester, pull.after_revision()));
+    if (state.isReady) {
         reply.set_revision(state.revision);
         reply.set_horizon(state.horizon);
-        reply.set_complete_to(state.objects.fill(reply, pull.after_revision(), state.revision));
+        reply.set_complete_to(
+            state.objects.appendChanges(reply, pull.after_revision(), state.revision));
     }
     return reply;
 }
 
 void object_replica::markReady()
 {
-    m_state->ready = true;
+    m_state->isReady = true;
 }
 
 void object_replica::expireTombstones(steady_time now)
 {
-    const uint64_t dropped = m_state->objects.expire(now, [](size_t left, milliseconds age) {
-        return left > maxTombstones || (left > tombstonesKept && age > tombstoneAge);
-    });
-    m_state->horizon = std::max(m_state->horizon, dropped);
+    const uint64_t highestDropped =
+        m_state->objects.expireTombstones(now, [](size_t count, milliseconds age) {
+            return count > maxTombstones
+                || (count > minRetainedTombstones && age > minTombstoneRetention);
+        });
+    m_state->horizon = std::max(m_state->horizon, highestDropped);
 }
 
 std::shared_ptr<const fleet_view> object_replica::buildView()
 {
-    return m_state->views.build(
+    return m_state->viewBuilder.build(
         m_state->revision, [this](std::string_view key) { return m_state->objects.find(key); });
 }
 
--- a/src/persimmonrail/sync/object_replica.h
+++ b/src/persimmonrail/sync/object_replica.h
@@ -14,29 +14,34 @@
 
 namespace persimmonrail {
 
-// Size of the objects in one pull reply. An object larger than this is sent alone.
-inline constexpr size_t pullReplyBytes = 64 * 1024;
-// Tombstones are kept for at least this time, so that a daemon cut off for less catches up from
-// any peer by the changes alone.
-inline constexpr std::chrono::hours tombstoneAge{1};
-// Number of tombstones that are kept beyond that age.
-inline constexpr size_t tombstonesKept = 4096;
-// Hard limit on tombstones, about 10 MB. Only more than 18 deletions a second over an hour reach
-// it; daemons further behind than the dropped ones then pull the whole state.
+// Maximum size of the objects in one pull reply, in bytes of keys and values. An object larger than
+// this limit is sent alone.
+inline constexpr size_t maxPullReplyBytes = 64 * 1024;
+// Every tombstone is kept for at least this time, so that a daemon that was disconnected for a
+// shorter time catches up from any peer by incremental pulls. Only maxTombstones overrides this
+// time.
+inline constexpr std::chrono::hours minTombstoneRetention{1};
+// Number of tombstones that are kept even if they are older than minTombstoneRetention.
+inline constexpr size_t minRetainedTombstones = 4096;
+// Hard limit on the number of tombstones, about 10 MB. Only more than 18 deletions a second over an
+// hour reach this limit. A daemon that has not seen the deletions whose tombstones were dropped
+// pulls the whole state.
 inline constexpr size_t maxTombstones = 65536;
-// Consecutive answers that can't be applied for lack of tombstones before the whole state is
-// pulled.
-inline constexpr int refusalsBeforeWholePull = 4;
+// The whole state is pulled after this many consecutive pull replies that could not be applied
+// because the senders lacked tombstones that this daemon needs.
+inline constexpr int maxRejectedPullReplies = 4;
 
-// The newest known version of every platform object, tombstones included, and the revision up to
-// which that knowledge is complete.
+// Holds this daemon's copy of the platform's objects: the newest known version of every object,
+// tombstones included, and the revision up to which the copy is complete.
 //
-// Versions only move forward, and a change is never skipped: an answer is applied only if it starts
-// at or below the known revision and its source still holds all tombstones above that revision. An
-// empty store, or one too far behind for its peers' tombstones, pulls the whole state into a
-// staging area and adopts it at once when it is complete.
+// The version of an object never decreases, and no change is skipped: a reply is applied only if it
+// starts at or below the known revision and its sender holds all tombstones above that
+// revision. A replica that is empty, or too far behind for the tombstones that its peers keep,
+// pulls the whole state into a staging area and replaces its own state in one step once the pulled
+// state is complete.
 //
-// Belongs to the control thread; the views it builds may be shared with other threads.
+// Not thread safe; used on the control thread only. The views that buildView() returns may be
+// shared with other threads.
 class object_replica
 {
 public:
@@ -44,8 +49,10 @@
     {
         // Parses the value of "accepted/<service>".
         std::function<absl::StatusOr<service_document>(std::string_view value)> parseDocument;
-        // Called for an object that can't be decoded; its last good version stays in force.
-        std::function<void(const stored_object &object, const absl::Status &status)> undecodable;
+        // Called for an object that can't be decoded. The view keeps the last valid version of the
+        // object.
+        std::function<void(const stored_object &object, const absl::Status &status)>
+            onDecodeFailure;
     };
 
     explicit object_replica(hooks hooks);
@@ -53,39 +60,43 @@
     object_replica &operator=(const object_replica &) = delete;
     ~object_replica();
 
-    // Revision up to which every change is known.
+    // Returns the revision up to which every change is known.
     uint64_t revision() const;
     // Returns null if the object is unknown or deleted.
     const stored_object *find(std::string_view key) const;
-    // Calls `visit` for each object that exists and whose key starts with the prefix.
+    // Calls `visit` for each object that exists and whose key starts with `prefix`, in key order.
     void visitPrefix(std::string_view prefix,
                      const std::function<void(const stored_object &)> &visit) const;
-    size_t tombstones() const;
+    size_t tombstoneCount() const;
 
-    // The request to send next: everything after the known revision, or after the staged one while
-    // the whole state is pulled.
+    // Returns the next pull request. The request asks for every change after the known revision or,
+    // while the whole state is being pulled, for the next page of the whole state.
     wire::Pull nextPull() const;
-    // Applies the answer to a pull after `afterRevision`. Returns false if the answer was ignored,
-    // because it starts above what is known or brings nothing new. After a truncated answer
-    // (complete_to below revision) the next pull should follow at once, from the same peer.
+    // Applies the reply to a pull request whose after_revision was `afterRevision`. Returns false
+    // if the reply was ignored: the sender is not ready, the reply starts above the known revision
+    // or contains nothing new, or the sender lacks tombstones that are needed. After a truncated
+    // reply (complete_to below revision) the caller should send the next pull to the same peer at
+    // once.
     bool applyPull(uint64_t afterRevision, const wire::PullReply &reply, steady_time now);
-    // Applies the answer to a watch of all keys from `sinceRevision`. Returns as applyPull() does.
+    // Applies the result of a watch of all keys from `sinceRevision`. Returns false if the result
+    // was ignored because it starts above the known revision or contains nothing new.
     bool applyWatch(uint64_t sinceRevision, const object_list &changes, steady_time now);
-    // Applies a list of all keys (prefix ""). Known objects that are missing from it were deleted.
-    // Returns as applyPull() does.
+    // Applies a list of all keys (prefix ""). Known objects that are missing from the list are
+    // marked as deleted. Returns false if the list was ignored because it is not newer than the
+    // known revision.
     bool applyList(const object_list &list, steady_time now);
 
-    // Answers a peer's pull with objects in version order and remembers the revision it reported.
-    // Until markReady() the answer holds only the floor, so that a daemon that may be behind is no
-    // source for others.
-    wire::PullReply respondToPull(const wire::Pull &pull, const instance_id &asking);
+    // Returns the reply to a peer's pull request, with the objects in version order, and stores the
+    // revision that `requester` reported. Before markReady() the reply contains only the minimum
+    // revision of the requester, so that no peer copies the state of a daemon that may be behind.
+    wire::PullReply respondToPull(const wire::Pull &pull, const instance_id &requester);
     void markReady();
 
-    // Drops tombstones beyond the limits above. To be called about once a minute.
+    // Drops the tombstones that exceed the limits above. Should be called about once a minute.
     void expireTombstones(steady_time now);
 
-    // Returns a view of the current state. Returns the same view as before while no member,
-    // accepted document or placement record has changed, even if the revision has moved on.
+    // Returns a view of the current state. Returns the previous view as long as no member, accepted
+    // document or placement record has changed, even if the revision has increased.
     std::shared_ptr<const fleet_view> buildView();
 
 private:
--- a/src/persimmonrail/sync/pull_schedule.cpp
+++ b/src/persimmonrail/sync/pull_schedule.cpp
@@ -27,12 +27,13 @@
             sameZone.push_back(&member);
         }
     }
-    // The groups in order of preference; a later one stands in for an empty one.
+    // The groups in order of preference. The target is chosen from the first group that has a
+    // member.
     std::array groups{&sameZone, &otherZone, &otherRegion};
-    const uint64_t draw = randomBelow(m_random, otherRegionEvery);
+    const uint64_t draw = randomBelow(m_random, pullsPerOtherRegionPull);
     if (draw == 0) {
         groups = {&otherRegion, &otherZone, &sameZone};
-    } else if (draw <= otherRegionEvery / otherZoneEvery) {
+    } else if (draw <= pullsPerOtherRegionPull / pullsPerOtherZonePull) {
         groups = {&otherZone, &otherRegion, &sameZone};
     }
     for (const auto *group : groups) {
--- a/src/persimmonrail/sync/pull_schedule.h
+++ b/src/persimmonrail/sync/pull_schedule.h
@@ -9,15 +9,16 @@
 
 namespace persimmonrail {
 
+// Interval between the pulls of one daemon.
 inline constexpr milliseconds pullInterval{250};
-// One pull in this many goes to another availability zone of the region.
-inline constexpr uint64_t otherZoneEvery = 8;
-// One pull in this many goes to another region.
-inline constexpr uint64_t otherRegionEvery = 32;
+// One in this number of pulls goes to another availability zone of the same region.
+inline constexpr uint64_t pullsPerOtherZonePull = 8;
+// One in this number of pulls goes to another region.
+inline constexpr uint64_t pullsPerOtherRegionPull = 32;
 
-// Chooses the peer of each pull at random, mostly within the own availability zone.
+// Chooses the peer of each pull at random, in most cases from the daemon's own availability zone.
 //
-// Belongs to the control thread.
+// Not thread safe; used on the control thread only.
 class pull_schedule
 {
 public:
@@ -29,15 +30,15 @@
     };
     struct target
     {
-        // Empty for a seed.
+        // Empty if the target is a seed, whose instance name is unknown.
         std::string instance;
         std::string controlAddress;
     };
 
-    // `seeds` are control addresses, used while no other member is known.
+    // `seeds` are the control addresses to pull from as long as no other member is known.
     pull_schedule(location self, std::vector<std::string> seeds, random_source random);
 
-    // Returns nothing if there is neither another member nor a seed.
+    // Returns the peer of the next pull, or nullopt if there is neither another member nor a seed.
     std::optional<target> next(const fleet_view &view);
 
 private:
--- a/src/persimmonrail/sync/relay_election.h
+++ b/src/persimmonrail/sync/relay_election.h
@@ -7,36 +7,41 @@
 
 namespace persimmonrail {
 
-// Daemons per availability zone that watch the platform.
+// Number of daemons per availability zone that watch the platform's store for the zone.
 inline constexpr size_t relaysPerZone = 2;
-// A daemon that knows no member of its availability zone waits for up to this long before it reads
-// the platform itself, so that a fleet that starts at once does not do so in one moment.
-inline constexpr milliseconds bootstrapSpread{2000};
+// A daemon that knows no member of its availability zone becomes a relay after a random delay below
+// this limit, so that the daemons of a fleet that starts as a whole do not all read the platform at
+// the same moment.
+inline constexpr milliseconds maxBootstrapDelay{2000};
 
-// Decides whether this daemon is a relay of its availability zone.
+// Decides whether this daemon is a relay, that is, one of the daemons that watch the platform's
+// store for their availability zone.
 //
-// Belongs to the control thread.
+// Not thread safe; used on the control thread only.
 class relay_election
 {
 public:
-    relay_election(std::string selfName, std::string availabilityZone, steady_time started,
+    relay_election(std::string selfName, std::string availabilityZone, steady_time startTime,
                    const random_source &random);
 
+    // Determines the candidates of the zone anew. Must be called whenever the view has changed.
     void setView(const fleet_view &view, steady_time now);
-    // Members to ping each electionPingInterval.
+    // Returns the members to ping every electionPingInterval.
     std::vector<member_record> pingTargets() const { return m_election.pingTargets(); }
+    // Records that a member responded to a ping.
     void recordResponse(std::string_view name, steady_time now)
     {
         m_election.recordResponse(name, now);
     }
-    // True while fewer than two higher-ranked members of the zone answered, or if no member of the
-    // zone is known and the bootstrap delay has passed.
+    // Returns true if this daemon holds one of the relaysPerZone relay roles of its zone (see
+    // rendezvous_election), or if no member of the zone is known and the bootstrap delay has
+    // passed.
     bool isRelay(steady_time now) const;
 
 private:
     std::string m_availabilityZone;
-    steady_time m_bootstrapAt;
-    bool m_zoneKnown = false;
+    steady_time m_bootstrapTime;
+    bool m_hasZoneMembers = false;
     rendezvous_election m_election;
 };
 
--- a/src/persimmonrail/sync/relay_watch.cpp
+++ b/src/persimmonrail/sync/relay_watch.cpp
@@ -14,11 +14,11 @@
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_stopping = true;
-        m_active = false;
+        m_isStopping = true;
+        m_isActive = false;
         ++m_generation;
     }
-    m_changed.notify_all();
+    m_stateChanged.notify_all();
     m_thread.join();
 }
 
@@ -26,64 +26,65 @@
 {
     {
         const std::lock_guard lock(m_mutex);
-        if (m_active || m_stopping) {
+        if (m_isActive || m_isStopping) {
             return;
         }
-        m_active = true;
+        m_isActive = true;
         m_revision = revision;
-        m_mustList = revision == 0;
+        m_shouldList = revision == 0;
         ++m_generation;
     }
-    m_changed.notify_all();
+    m_stateChanged.notify_all();
 }
 
 void relay_watch::deactivate()
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_active = false;
+        m_isActive = false;
         ++m_generation;
     }
-    m_changed.notify_all();
+    m_stateChanged.notify_all();
 }
 
 bool relay_watch::isActive() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_active;
+    return m_isActive;
 }
 
 void relay_watch::run()
 {
-    backoff delays(initialWatchBackoff, maxWatchBackoff, m_hooks.random);
+    backoff retryBackoff(initialWatchBackoff, maxWatchBackoff, m_hooks.random);
     std::unique_lock lock(m_mutex);
-    while (!m_stopping) {
-        m_changed.wait(lock, [this] { return m_stopping || m_active; });
-        if (m_stopping) {
+    while (!m_isStopping) {
+        m_stateChanged.wait(lock, [this] { return m_isStopping || m_isActive; });
+        if (m_isStopping) {
             return;
         }
         const uint64_t generation = m_generation;
         const uint64_t revision = m_revision;
-        const bool lists = m_mustList;
+        const bool shouldList = m_shouldList;
         lock.unlock();
-        const auto status = step(generation, revision, lists);
-        milliseconds delay = watchPause;
+        const auto status = fetchOnce(generation, revision, shouldList);
+        milliseconds delay = longPollDelay;
         if (status.ok()) {
-            delays.reset();
+            retryBackoff.reset();
         } else {
-            delay = delays.next();
+            delay = retryBackoff.next();
             if (m_hooks.failed) {
                 m_hooks.failed(status, delay);
             }
         }
         lock.lock();
-        m_changed.wait_for(lock, delay, [&] { return m_stopping || m_generation != generation; });
+        m_stateChanged.wait_for(lock, delay,
+                                [&] { return m_isStopping || m_generation != generation; });
     }
 }
 
-absl::Status relay_watch::step(uint64_t generation, uint64_t revision, bool lists)
+absl::Status relay_watch::fetchOnce(uint64_t generation, uint64_t revision, bool shouldList)
 {
-    const auto result = lists ? m_api.list("") : m_api.watch("", revision, watchWait);
+    const auto result = shouldList ? m_api.list("") : m_api.watch("", revision, longPollTimeout);
     {
         const std::lock_guard lock(m_mutex);
         if (m_generation != generation) {
@@ -91,15 +92,15 @@
         }
         if (result.ok()) {
             m_revision = result->revision;
-            m_mustList = false;
+            m_shouldList = false;
         } else if (absl::IsOutOfRange(result.status())) {
-            m_mustList = true;
+            m_shouldList = true;
         }
     }
     if (!result.ok()) {
         return result.status();
     }
-    if (lists) {
+    if (shouldList) {
         m_hooks.listed(*result);
     } else {
         m_hooks.changed(revision, *result);
--- a/src/persimmonrail/sync/relay_watch.h
+++ b/src/persimmonrail/sync/relay_watch.h
@@ -10,57 +10,67 @@
 
 namespace persimmonrail {
 
-// Duration of one long poll. It bounds the time that the destructor takes; 48 relays cause 24
-// reads a second.
-inline constexpr milliseconds watchWait{2000};
-// Pause between two long polls. It lets one call fetch the changes of a burst: 48 relays make at
+// Maximum duration of one long poll, which bounds the time that the destructor takes. While nothing
+// changes, 48 relays cause 24 reads a second.
+inline constexpr milliseconds longPollTimeout{2000};
+// Delay between two long polls, so that one call fetches all changes of a burst. 48 relays cause at
 // most 480 reads a second.
-inline constexpr milliseconds watchPause{100};
+inline constexpr milliseconds longPollDelay{100};
+// Bounds of the delay before the next call after a failed call.
 inline constexpr milliseconds initialWatchBackoff{200};
 inline constexpr milliseconds maxWatchBackoff{10000};
 
-// Follows all platform objects on a thread of its own, while this daemon is a relay or not yet
-// ready: a list if nothing is known yet or the store has compacted the revision, then long polls.
+// Watches all objects of the platform on a separate thread while activated, which is the case while
+// this daemon is a relay or is not ready yet. The watch begins with a list if no revision is known
+// or if the store has compacted the known revision, and continues with long polls.
 //
-// Thread safe. Hooks run on the watch's thread.
+// Thread safe. The hooks run on the thread of the watch.
 class relay_watch
 {
 public:
     struct hooks
     {
+        // Called with all objects after a list.
         std::function<void(const object_list &list)> listed;
+        // Called with the changes after `sinceRevision` after each long poll.
         std::function<void(uint64_t sinceRevision, const object_list &changes)> changed;
-        // A call failed; the next one follows after `delay`.
+        // Called after a failed call. The next call follows after `delay`.
         std::function<void(const absl::Status &status, milliseconds delay)> failed;
+        // Source of the jitter of the delays after failures.
         random_source random;
     };
 
     relay_watch(object_api api, hooks hooks);
     relay_watch(const relay_watch &) = delete;
     relay_watch &operator=(const relay_watch &) = delete;
-    // Waits for a call in progress.
+    // Waits until a call that is in progress has returned.
     ~relay_watch();
 
-    // Starts to follow the changes after `revision`; 0 lists first. No effect while active.
+    // Starts to watch the changes after `revision`, or starts with a list if `revision` is 0. Has
+    // no effect while the watch is active.
     void activate(uint64_t revision);
-    // Makes no further call. Doesn't wait for one in progress; its result may be dropped.
+    // Stops the watch: no further call begins. Doesn't wait for a call that is in progress, whose
+    // result may be dropped.
     void deactivate();
     bool isActive() const;
 
 private:
     void run();
-    absl::Status step(uint64_t generation, uint64_t revision, bool lists);
+    // Makes one call and passes the result to a hook, unless the generation has changed during the
+    // call.
+    absl::Status fetchOnce(uint64_t generation, uint64_t revision, bool shouldList);
 
     object_api m_api;
     hooks m_hooks;
     mutable std::mutex m_mutex;
-    std::condition_variable m_changed;
-    bool m_stopping = false;
-    bool m_active = false;
-    // Increases with each activation, so that a call made before it can't continue after it.
+    std::condition_variable m_stateChanged;
+    bool m_isStopping = false;
+    bool m_isActive = false;
+    // Increases with each activation and deactivation, so that the result of a call that began
+    // before is dropped.
     uint64_t m_generation = 0;
     uint64_t m_revision = 0;
-    bool m_mustList = true;
+    bool m_shouldList = true;
     std::thread m_thread;
 };
 
--- a/src/persimmonrail/sync/rendezvous_election.cpp
+++ b/src/persimmonrail/sync/rendezvous_election.cpp
@@ -4,35 +4,35 @@
 
 namespace persimmonrail {
 
-rendezvous_election::rendezvous_election(std::string selfName, std::string subject, size_t holders)
+rendezvous_election::rendezvous_election(std::string selfName, std::string role, size_t maxHolders)
     : m_selfName(std::move(selfName))
-    , m_subject(std::move(subject))
-    , m_holders(holders)
+    , m_role(std::move(role))
+    , m_maxHolders(maxHolders)
 { }
 
 void rendezvous_election::setMembers(const std::vector<const member_record *> &eligible,
                                      steady_time now)
 {
-    std::vector<std::pair<uint64_t, const member_record *>> ranked;
-    ranked.reserve(eligible.size());
+    std::vector<std::pair<uint64_t, const member_record *>> weighted;
+    weighted.reserve(eligible.size());
     for (const auto *member : eligible) {
-        ranked.emplace_back(rendezvousWeight(member->id.name, m_subject), member);
+        weighted.emplace_back(rendezvousWeight(member->id.name, m_role), member);
     }
-    const size_t count = std::min(electionCandidates, ranked.size());
-    std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count),
-                      ranked.end(), [](const auto &left, const auto &right) {
+    const size_t count = std::min(maxElectionCandidates, weighted.size());
+    std::partial_sort(weighted.begin(), weighted.begin() + static_cast<std::ptrdiff_t>(count),
+                      weighted.end(), [](const auto &left, const auto &right) {
                           return left.first != right.first
                               ? left.first > right.first
                               : left.second->id.name < right.second->id.name;
                       });
     m_candidates.clear();
     for (size_t i = 0; i < count; ++i) {
-        m_candidates.push_back(*ranked[i].second);
+        m_candidates.push_back(*weighted[i].second);
     }
-    const bool candidate =
+    const bool isSelfCandidate =
         std::any_of(m_candidates.begin(), m_candidates.end(),
                     [&](const member_record &member) { return member.id.name == m_selfName; });
-    if (!candidate) {
+    if (!isSelfCandidate) {
         m_candidateSince.reset();
     } else if (!m_candidateSince) {
         m_candidateSince = now;
@@ -56,10 +56,10 @@
 
 void rendezvous_election::recordResponse(std::string_view name, steady_time now)
 {
-    const bool known =
+    const bool isCandidateName =
         std::any_of(m_candidates.begin(), m_candidates.end(),
                     [&](const member_record &member) { return member.id.name == name; });
-    if (known) {
+    if (isCandidateName) {
         m_responses.insert_or_assign(std::string(name), now);
     }
 }
@@ -69,19 +69,20 @@
     if (!m_candidateSince) {
         return false;
     }
-    size_t higher = 0;
-    size_t alive = 0;
+    size_t precedingCount = 0;
+    size_t responsiveCount = 0;
     for (const auto &member : m_candidates) {
         if (member.id.name == m_selfName) {
             break;
         }
-        ++higher;
+        ++precedingCount;
         const auto response = m_responses.find(member.id.name);
-        if (response != m_responses.end() && now - response->second < electionResponseAge) {
-            ++alive;
+        if (response != m_responses.end() && now - response->second < maxElectionResponseAge) {
+            ++responsiveCount;
         }
     }
-    return higher < m_holders || (alive < m_holders && now - *m_candidateSince >= electionGrace);
+    return precedingCount < m_maxHolders
+        || (responsiveCount < m_maxHolders && now - *m_candidateSince >= electionGraceDelay);
 }
 
 std::vector<std::string> rendezvous_election::candidates() const
--- a/src/persimmonrail/sync/tests/election_test.cpp
+++ b/src/persimmonrail/sync/tests/election_test.cpp
@@ -27,7 +27,7 @@
     return view;
 }
 
-wire::PullReply statedRevision(uint64_t revision, uint64_t minimumRevision)
+wire::PullReply makePullReply(uint64_t revision, uint64_t minimumRevision)
 {
     wire::PullReply reply;
     reply.set_revision(revision);
@@ -37,8 +37,9 @@
 
 } // namespace
 
-// Guards against all pulls staying in a zone that is cut off, and against traffic across zones.
-TEST_CASE("pulls are spread over zones and regions as designed")
+// Guards against a zone that is disconnected from the platform and receives no updates because no
+// pull leaves the zone, and against too many pulls across zones and regions.
+TEST_CASE("pulls are distributed over zones and regions in the specified ratios")
 {
     const auto view = makeView({"a1", "a2", "b1"}, 10);
     pull_schedule schedule({"a1-0", "a1", "a"}, {"seed"}, std::mt19937_64(7));
@@ -54,11 +55,11 @@
     CHECK(pulls["a2"] == Approx(total / 8.0).epsilon(0.1));
 }
 
-TEST_CASE("pulls fall back to other groups and to seeds")
+TEST_CASE("pulls go to other zones, regions or seeds if a group has no member")
 {
     const auto [zones, expected] = GENERATE(table<std::vector<std::string>, std::string>(
         {{{"a2"}, "a2-0"}, {{"b1"}, "b1-0"}, {{"a1"}, ""}, {std::vector<std::string>{}, ""}}));
-    // In zone a1 the asking daemon is the only member.
+    // In zone a1, the requesting daemon is the only member.
     const auto view = makeView(zones, 1);
     pull_schedule schedule({"a1-0", "a1", "a"}, {"seed"}, std::mt19937_64(7));
     for (int i = 0; i < 100; ++i) {
@@ -70,38 +71,42 @@
     CHECK_FALSE(pull_schedule({"a1-0", "a1", "a"}, {}, std::mt19937_64(7)).next({}).has_value());
 }
 
-// Guards against a zone without relays after losses, and against more watches than two per zone.
-TEST_CASE("the relays are the two highest-ranked members that answer")
+// Guards against a zone that has no relay after members failed, and against more than two watches
+// per zone.
+TEST_CASE("the relays are the first two responsive members in rendezvous order")
 {
-    const auto lost = GENERATE(values<std::vector<size_t>>({{}, {0}, {1}, {0, 1}, {0, 1, 2, 3}}));
+    const auto unresponsive =
+        GENERATE(values<std::vector<size_t>>({{}, {0}, {1}, {0, 1}, {0, 1, 2, 3}}));
     const auto view = makeView({"a1"}, 40);
     const std::mt19937_64 random(7);
     std::map<std::string, relay_election> elections;
     for (const auto &[name, member] : view.members) {
         elections.try_emplace(name, name, "a1", start, random).first->second.setView(view, start);
     }
-    rendezvous_election ranking("", "relay/a1", relaysPerZone);
+    rendezvous_election referenceElection("", "relay/a1", relaysPerZone);
     std::vector<const member_record *> members;
     for (const auto &[name, member] : view.members) {
         members.push_back(&member);
     }
-    ranking.setMembers(members, start);
-    const auto candidates = ranking.candidates();
-    REQUIRE(candidates.size() == electionCandidates);
-    std::vector<std::string> live;
+    referenceElection.setMembers(members, start);
+    const auto candidates = referenceElection.candidates();
+    REQUIRE(candidates.size() == maxElectionCandidates);
+    std::vector<std::string> responsive;
     for (size_t i = 0; i < candidates.size(); ++i) {
-        if (std::find(lost.begin(), lost.end(), i) == lost.end()) {
-            live.push_back(candidates[i]);
+        if (std::find(unresponsive.begin(), unresponsive.end(), i) == unresponsive.end()) {
+            responsive.push_back(candidates[i]);
         }
     }
     for (auto now = start; now <= start + 20s; now += electionPingInterval) {
-        // The lost members answer until second 8 and count as alive for 5 s more.
-        const auto &replying = now < start + 8s ? candidates : live;
+        // The unresponsive members respond to pings until second 8, and count as responsive for 5 s
+        // after their last response.
+        const auto &responding = now < start + 8s ? candidates : responsive;
         std::vector<std::string> relays;
-        for (const auto &name : replying) {
+        for (const auto &name : responding) {
             auto &election = elections.at(name);
             for (const auto &target : election.pingTargets()) {
-                if (std::find(replying.begin(), replying.end(), target.id.name) != replying.end()) {
+                if (std::find(responding.begin(), responding.end(), target.id.name)
+                    != responding.end()) {
                     election.recordResponse(target.id.name, now);
                 }
             }
@@ -110,30 +115,31 @@
             }
         }
         if (now == start + 7s || now >= start + 13s) {
-            REQUIRE(relays == std::vector(replying.begin(), replying.begin() + 2));
+            REQUIRE(relays == std::vector(responding.begin(), responding.begin() + 2));
         }
     }
     for (const auto &[name, election] : elections) {
-        const bool listed =
+        const bool isCandidate =
             std::find(candidates.begin(), candidates.end(), name) != candidates.end();
-        CHECK((listed || !election.isRelay(start + 20s)));
+        CHECK((isCandidate || !election.isRelay(start + 20s)));
     }
 }
 
-// Guards against a first daemon that waits forever for a relay.
+// Guards against the first daemon of a zone waiting forever for a relay.
 TEST_CASE("a daemon that knows no member of its zone reads the platform itself")
 {
     relay_election election("a1-0", "a1", start, std::mt19937_64(7));
     election.setView(makeView({"b1"}, 3), start);
-    CHECK(election.isRelay(start + bootstrapSpread));
+    CHECK(election.isRelay(start + maxBootstrapDelay));
     election.setView(makeView({"a1"}, 40), start);
-    CHECK(election.isRelay(start + bootstrapSpread) == false);
+    CHECK(election.isRelay(start + maxBootstrapDelay) == false);
 }
 
-// Guards against a fresh daemon that adopts a state older than one in force.
-TEST_CASE("a fresh daemon is ready only by the platform or enough peers")
+// Guards against a daemon that has just started and uses a state older than one that the fleet has
+// already acted on.
+TEST_CASE("a daemon becomes ready only by reading the platform or by replies of enough peers")
 {
-    struct stated_reply
+    struct received_reply
     {
         std::string peer;
         uint64_t revision;
@@ -144,36 +150,37 @@
         std::string name;
         std::vector<std::string> zones;
         int perZone;
-        // 0 if the platform was not read.
-        uint64_t platform;
-        std::vector<stated_reply> replies;
-        bool ready;
+        // Revision read from the platform, or 0 if the platform was not read.
+        uint64_t platformRevision;
+        std::vector<received_reply> replies;
+        bool isReady;
     };
-    const std::vector<std::string> two{"a1", "a2"};
-    // The store is at revision 9.
+    const std::vector<std::string> zones{"a1", "a2"};
+    // The object replica is at revision 9. "Minimum" stands for the minimum revision.
     const auto row = GENERATE_COPY(values<struct row>({
-        {"nothing known", {}, 0, 0, {}, false},
-        {"platform read, no floor", {}, 0, 9, {}, true},
+        {"no member, no reply", {}, 0, 0, {}, false},
+        {"platform read, no minimum", {}, 0, 9, {}, true},
         {"platform read, not yet applied", {}, 0, 10, {}, false},
-        {"platform read, below the floor", two, 9, 9, {{"a1-1", 9, 60}}, false},
-        {"two peers", two, 9, 0, {{"a1-1", 9, 0}, {"a2-1", 9, 0}}, false},
-        {"three of one zone", two, 9, 0, {{"a1-1", 9, 0}, {"a1-2", 9, 0}, {"a1-3", 9, 0}}, false},
-        {"three of two zones", two, 9, 0, {{"a1-1", 9, 0}, {"a1-2", 9, 0}, {"a2-3", 9, 0}}, true},
-        {"one asked thrice", two, 9, 0, {{"a1-1", 9, 0}, {"a1-1", 9, 0}, {"a1-1", 9, 0}}, false},
-        {"behind one", two, 9, 0, {{"a1-1", 9, 0}, {"a1-2", 9, 0}, {"a2-3", 10, 0}}, false},
-        {"below the floor", two, 9, 0, {{"a1-1", 9, 0}, {"a1-2", 9, 12}, {"a2-3", 9, 0}}, false},
-        {"peers not ready", two, 9, 0, {{"a1-1", 0, 0}, {"a1-2", 0, 0}, {"a2-3", 0, 0}}, false},
-        {"all peers of a small fleet", two, 1, 0, {{"a2-0", 9, 0}}, true},
+        {"platform read, below minimum", zones, 9, 9, {{"a1-1", 9, 60}}, false},
+        {"two peers", zones, 9, 0, {{"a1-1", 9, 0}, {"a2-1", 9, 0}}, false},
+        {"3 peers, 1 zone", zones, 9, 0, {{"a1-1", 9, 0}, {"a1-2", 9, 0}, {"a1-3", 9, 0}}, false},
+        {"3 peers, 2 zones", zones, 9, 0, {{"a1-1", 9, 0}, {"a1-2", 9, 0}, {"a2-3", 9, 0}}, true},
+        {"1 peer, 3 replies", zones, 9, 0, {{"a1-1", 9, 0}, {"a1-1", 9, 0}, {"a1-1", 9, 0}}, false},
+        {"behind 1 peer", zones, 9, 0, {{"a1-1", 9, 0}, {"a1-2", 9, 0}, {"a2-3", 10, 0}}, false},
+        {"below minimum", zones, 9, 0, {{"a1-1", 9, 0}, {"a1-2", 9, 12}, {"a2-3", 9, 0}}, false},
+        {"peers not ready", zones, 9, 0, {{"a1-1", 0, 0}, {"a1-2", 0, 0}, {"a2-3", 0, 0}}, false},
+        {"all peers of a small fleet", zones, 1, 0, {{"a2-0", 9, 0}}, true},
         {"all peers of one zone", {"a1"}, 3, 0, {{"a1-1", 9, 0}, {"a1-2", 9, 0}}, true},
-        {"alone", {"a1"}, 1, 0, {}, false},
+        {"no other member", {"a1"}, 1, 0, {}, false},
     }));
     CAPTURE(row.name);
-    readiness ready("a1-0");
-    if (row.platform > 0) {
-        ready.notePlatformRead(row.platform);
+    readiness readinessState("a1-0");
+    if (row.platformRevision > 0) {
+        readinessState.notePlatformRead(row.platformRevision);
     }
     for (const auto &reply : row.replies) {
-        ready.notePull({reply.peer, 1}, statedRevision(reply.revision, reply.minimumRevision));
+        readinessState.notePull({reply.peer, 1},
+                                makePullReply(reply.revision, reply.minimumRevision));
     }
-    CHECK(ready.evaluate(9, makeView(row.zones, row.perZone)) == row.ready);
+    CHECK(readinessState.evaluate(9, makeView(row.zones, row.perZone)) == row.isReady);
 }
--- a/src/persimmonrail/sync/tests/fleet_view_test.cpp
+++ b/src/persimmonrail/sync/tests/fleet_view_test.cpp
@@ -19,16 +19,16 @@
 
 } // namespace
 
-// Guards against 64-bit incarnations losing digits in JSON numbers.
-TEST_CASE("a member survives encoding and decoding")
+// Guards against a loss of precision of the 64-bit incarnation in JSON numbers.
+TEST_CASE("a decoded member record equals the encoded one")
 {
     const auto decoded = decodeMember(encodeMember(sampleMember()));
     REQUIRE(decoded.ok());
     CHECK(*decoded == sampleMember());
 }
 
-// Guards against members that nothing can reach or identify.
-TEST_CASE("invalid members are refused")
+// Guards against members that other daemons can't reach or identify.
+TEST_CASE("invalid member records are rejected")
 {
     const auto [name, change] = GENERATE(table<std::string, void (*)(member_record &)>({
         {"no name", [](member_record &member) { member.id.name.clear(); }},
@@ -44,16 +44,17 @@
     CHECK(absl::IsInvalidArgument(decodeMember(encodeMember(member)).status()));
 }
 
-TEST_CASE("text that is no member is refused")
+TEST_CASE("text that is not a member record is rejected")
 {
     const std::string text = GENERATE("", "7", "[]", "{}", R"({"name":"a","incarnation":"12"})");
     CAPTURE(text);
     CHECK(absl::IsInvalidArgument(decodeMember(text).status()));
 }
 
-// Guards against a single-key record being hidden by its range or by other single keys, and
-// against a gap being attributed to the record before it.
-TEST_CASE("the most specific record is found")
+// Guards against a lookup that returns the record of a range or of another single key instead of
+// the single-key record, and against a lookup of an uncovered hash that returns the preceding
+// record.
+TEST_CASE("the record of the smallest range that contains the hash is found")
 {
     fleet_view view;
     const auto add = [&](const std::string &partition, hash_range range) {
@@ -89,7 +90,7 @@
     CHECK(view.findRecord("absent", hash) == nullptr);
 }
 
-// Guards against a restarted daemon being taken for its earlier run.
+// Guards against confusing a restarted daemon with its previous incarnation.
 TEST_CASE("members are found by incarnation and service")
 {
     fleet_view view;
--- a/src/persimmonrail/sync/tests/gossip_test.cpp
+++ b/src/persimmonrail/sync/tests/gossip_test.cpp
@@ -15,17 +15,17 @@
 
 struct scenario
 {
-    int stores;
+    int replicas;
     int zones;
-    // Share of pulls whose answer is lost.
-    double loss;
-    // Chance per round that some store restarts.
-    double restarts;
-    bool platformOutage;
+    // Probability that the reply to a pull is lost.
+    double lossProbability;
+    // Probability per round that one daemon, chosen at random, restarts.
+    double restartProbability;
+    bool hasPlatformOutage;
     uint64_t seed;
 };
 
-// The platform's log and the newest version of each object.
+// The write log of the platform and the newest version of each object.
 struct fake_platform
 {
     void write(const std::string &key, bool deleted)
@@ -51,23 +51,24 @@
     std::map<std::string, stored_object> objects;
 };
 
-// One simulated daemon across its restarts.
+// One simulated daemon in its current incarnation.
 struct simulated_daemon
 {
     member_record member;
     bool isRelay = false;
-    std::unique_ptr<object_replica> store;
-    std::unique_ptr<readiness> ready;
+    std::unique_ptr<object_replica> replica;
+    std::unique_ptr<readiness> readinessState;
     std::unique_ptr<pull_schedule> schedule;
+    // Highest version of each object seen in this incarnation.
     std::map<std::string, uint64_t> versions;
-    // Revision at the last restart.
-    uint64_t formerRevision = 0;
-    // Highest floor that an answering peer can have known since the restart.
-    uint64_t minimumRevisionHeard = 0;
-    // What this daemon was told by each asking instance.
-    std::map<std::string, uint64_t> reported;
-    uint64_t checkedRevision = 0;
-    bool wasReady = false;
+    // Last revision of the previous incarnation, or 0 if that incarnation was not ready.
+    uint64_t revisionBeforeRestart = 0;
+    // Highest minimum revision that this incarnation has received in replies.
+    uint64_t maxReceivedMinimumRevision = 0;
+    // Highest revision that each instance has reported to this incarnation.
+    std::map<std::string, uint64_t> reportedRevisions;
+    uint64_t lastCheckedRevision = 0;
+    bool isReady = false;
 };
 
 class simulation
@@ -77,7 +78,7 @@
         : m_scenario(scenario)
         , m_random(scenario.seed)
     {
-        for (int i = 0; i < scenario.stores; ++i) {
+        for (int i = 0; i < scenario.replicas; ++i) {
             simulated_daemon daemon;
             const std::string zone = "zone" + std::to_string(i % scenario.zones);
             daemon.member = {{"daemon" + std::to_string(i), 1}, "region", zone, "", "a", "a", 1};
@@ -89,17 +90,17 @@
             platform.write("key" + std::to_string(i), false);
         }
         for (auto &daemon : m_daemons) {
-            start(daemon, 0);
+            startIncarnation(daemon, 0);
         }
     }
 
-    // Returns the number of rounds until all stores have reached the platform's revision.
-    int runUntilEqual()
+    // Returns the number of rounds until all replicas have reached the platform's revision.
+    int runUntilAllReachPlatform()
     {
         int rounds = 0;
-        for (; !allEqual(); ++rounds) {
+        for (; !haveAllReachedPlatform(); ++rounds) {
             REQUIRE(rounds < 100);
-            round(false);
+            runRound(false);
         }
         return rounds;
     }
@@ -107,23 +108,24 @@
     void runWithChanges(int rounds)
     {
         for (int i = 0; i < rounds; ++i) {
-            // The first relay is cut off from the platform for a while and goes on answering.
-            m_staleRelay = i > rounds / 4 && i < rounds * 3 / 4;
-            m_outage = m_scenario.platformOutage && i > rounds / 2;
-            for (int write = 0; !m_outage && write < 3; ++write) {
+            // During the middle half of the rounds, the first relay is disconnected from the
+            // platform but still replies to pulls.
+            m_isRelayDisconnected = i > rounds / 4 && i < rounds * 3 / 4;
+            m_hasPlatformOutage = m_scenario.hasPlatformOutage && i > rounds / 2;
+            for (int write = 0; !m_hasPlatformOutage && write < 3; ++write) {
                 platform.write("key" + std::to_string(m_random() % 600), m_random() % 3 == 0);
             }
-            round(true);
+            runRound(true);
         }
-        m_staleRelay = false;
-        m_outage = false;
+        m_isRelayDisconnected = false;
+        m_hasPlatformOutage = false;
     }
 
     void checkContents() const
     {
         for (const auto &daemon : m_daemons) {
             for (const auto &[key, object] : platform.objects) {
-                const auto *found = daemon.store->find(key);
+                const auto *found = daemon.replica->find(key);
                 REQUIRE((found != nullptr) == !object.deleted);
                 REQUIRE((found == nullptr || found->version == object.version));
             }
@@ -132,40 +134,40 @@
 
     fake_platform platform;
     int restarts = 0;
-    int readyBelowFormer = 0;
+    int readyBelowPreviousRevision = 0;
 
 private:
-    void start(simulated_daemon &daemon, uint64_t formerRevision)
+    void startIncarnation(simulated_daemon &daemon, uint64_t revisionBeforeRestart)
     {
         const std::string name = daemon.member.id.name;
-        simulated_daemon fresh;
-        fresh.member = daemon.member;
-        fresh.isRelay = daemon.isRelay;
-        fresh.formerRevision = formerRevision;
-        daemon = std::move(fresh);
-        daemon.store = std::make_unique<object_replica>(object_replica::hooks{
+        simulated_daemon newIncarnation;
+        newIncarnation.member = daemon.member;
+        newIncarnation.isRelay = daemon.isRelay;
+        newIncarnation.revisionBeforeRestart = revisionBeforeRestart;
+        daemon = std::move(newIncarnation);
+        daemon.replica = std::make_unique<object_replica>(object_replica::hooks{
             [](std::string_view) { return absl::UnimplementedError("no documents"); }, nullptr});
-        daemon.ready = std::make_unique<readiness>(name);
+        daemon.readinessState = std::make_unique<readiness>(name);
         daemon.schedule = std::make_unique<pull_schedule>(
             pull_schedule::location{name, daemon.member.availabilityZone, "region"},
             std::vector<std::string>(), std::mt19937_64(m_random()));
     }
 
-    bool allEqual() const
+    bool haveAllReachedPlatform() const
     {
         return std::all_of(m_daemons.begin(), m_daemons.end(), [&](const auto &daemon) {
-            return daemon.store->revision() == platform.revision();
+            return daemon.replica->revision() == platform.revision();
         });
     }
 
-    double fraction() { return static_cast<double>(m_random() % 10000) / 10000; }
+    double randomFraction() { return static_cast<double>(m_random() % 10000) / 10000; }
 
-    void round(bool restart)
+    void runRound(bool mayRestart)
     {
-        if (restart && fraction() < m_scenario.restarts) {
+        if (mayRestart && randomFraction() < m_scenario.restartProbability) {
             auto &daemon = m_daemons[m_random() % m_daemons.size()];
             ++restarts;
-            start(daemon, daemon.wasReady ? daemon.store->revision() : 0);
+            startIncarnation(daemon, daemon.isReady ? daemon.replica->revision() : 0);
         }
         std::vector<simulated_daemon *> order;
         for (auto &daemon : m_daemons) {
@@ -173,11 +175,13 @@
         }
         std::shuffle(order.begin(), order.end(), m_random);
         for (auto *daemon : order) {
-            const bool cut = m_outage || (m_staleRelay && daemon == &m_daemons[0]);
+            const bool isDisconnected =
+                m_hasPlatformOutage || (m_isRelayDisconnected && daemon == &m_daemons[0]);
             pull(*daemon);
-            // A fresh daemon that has pulled a state confirms it by one watch.
-            const bool confirms = !daemon->wasReady && daemon->store->revision() > 0;
-            if ((daemon->isRelay || confirms) && !cut) {
+            // A daemon that has just started and has pulled a state confirms the state by one
+            // watch.
+            const bool shouldConfirm = !daemon->isReady && daemon->replica->revision() > 0;
+            if ((daemon->isRelay || shouldConfirm) && !isDisconnected) {
                 readPlatform(*daemon);
             }
             check(*daemon);
@@ -186,15 +190,15 @@
 
     void readPlatform(simulated_daemon &daemon)
     {
-        const uint64_t since = daemon.store->revision();
+        const uint64_t since = daemon.replica->revision();
         if (since == 0) {
-            daemon.store->applyList(platform.list(), m_now);
+            daemon.replica->applyList(platform.list(), m_now);
         } else {
             const auto first = platform.log.begin() + static_cast<std::ptrdiff_t>(since);
-            daemon.store->applyWatch(since, {platform.revision(), {first, platform.log.end()}},
-                                     m_now);
+            daemon.replica->applyWatch(since, {platform.revision(), {first, platform.log.end()}},
+                                       m_now);
         }
-        daemon.ready->notePlatformRead(platform.revision());
+        daemon.readinessState->notePlatformRead(platform.revision());
     }
 
     void pull(simulated_daemon &daemon)
@@ -204,40 +208,41 @@
             return candidate.member.id.name == target->instance;
         });
         const std::string name = daemon.member.id.name;
-        for (bool more = true; more;) {
-            const auto request = daemon.store->nextPull();
+        for (bool hasMore = true; hasMore;) {
+            const auto request = daemon.replica->nextPull();
             const uint64_t after = request.after_revision();
-            const auto reply = peer.store->respondToPull(request, daemon.member.id);
-            const uint64_t known = peer.reported[name];
-            peer.reported[name] = std::max(known, after);
-            if (fraction() < m_scenario.loss) {
+            const auto reply = peer.replica->respondToPull(request, daemon.member.id);
+            const uint64_t previouslyReported = peer.reportedRevisions[name];
+            peer.reportedRevisions[name] = std::max(previouslyReported, after);
+            if (randomFraction() < m_scenario.lossProbability) {
                 return;
             }
-            daemon.minimumRevisionHeard = std::max(daemon.minimumRevisionHeard, known);
-            daemon.ready->notePull(peer.member.id, reply);
-            more = daemon.store->applyPull(after, reply, m_now)
+            daemon.maxReceivedMinimumRevision =
+                std::max(daemon.maxReceivedMinimumRevision, previouslyReported);
+            daemon.readinessState->notePull(peer.member.id, reply);
+            hasMore = daemon.replica->applyPull(after, reply, m_now)
                 && reply.complete_to() < reply.revision();
         }
     }
 
     void check(simulated_daemon &daemon)
     {
-        const uint64_t revision = daemon.store->revision();
-        if (!daemon.wasReady && daemon.ready->evaluate(revision, m_view)) {
-            daemon.wasReady = true;
-            daemon.store->markReady();
-            REQUIRE(revision >= daemon.minimumRevisionHeard);
-            readyBelowFormer += revision < daemon.formerRevision ? 1 : 0;
+        const uint64_t revision = daemon.replica->revision();
+        if (!daemon.isReady && daemon.readinessState->evaluate(revision, m_view)) {
+            daemon.isReady = true;
+            daemon.replica->markReady();
+            REQUIRE(revision >= daemon.maxReceivedMinimumRevision);
+            readyBelowPreviousRevision += revision < daemon.revisionBeforeRestart ? 1 : 0;
         }
-        if (revision == daemon.checkedRevision) {
+        if (revision == daemon.lastCheckedRevision) {
             return;
         }
-        REQUIRE(revision > daemon.checkedRevision);
-        daemon.checkedRevision = revision;
-        daemon.store->visitPrefix("", [&](const stored_object &object) {
+        REQUIRE(revision > daemon.lastCheckedRevision);
+        daemon.lastCheckedRevision = revision;
+        daemon.replica->visitPrefix("", [&](const stored_object &object) {
             auto &version = daemon.versions[object.key];
             if (object.version < version) {
-                FAIL(object.key << " went back at " << daemon.member.id.name);
+                FAIL(object.key << " has a lower version than before at " << daemon.member.id.name);
             }
             version = object.version;
         });
@@ -248,15 +253,16 @@
     const steady_time m_now = steady_time{} + 1h;
     fleet_view m_view;
     std::vector<simulated_daemon> m_daemons;
-    bool m_staleRelay = false;
-    bool m_outage = false;
+    bool m_isRelayDisconnected = false;
+    bool m_hasPlatformOutage = false;
 };
 
 } // namespace
 
-// Guards against stores that stay behind, go back, keep deleted objects or become ready too early
-// while answers are lost, a relay is stale and daemons restart.
-TEST_CASE("all stores reach the newest revision and none goes back")
+// Guards against replicas that stay behind, return to older versions, keep deleted objects or
+// become ready too early while replies are lost, a relay is disconnected from the platform and
+// daemons restart.
+TEST_CASE("all replicas reach the newest revision and no version decreases")
 {
     const auto scenario = GENERATE(values<struct scenario>({
         {50, 1, 0.0, 0.0, false, 1},
@@ -267,16 +273,17 @@
         {300, 4, 0.2, 1.0, true, 6},
     }));
     simulation run(scenario);
-    const int startRounds = run.runUntilEqual();
+    const int startRounds = run.runUntilAllReachPlatform();
     run.runWithChanges(60);
-    const int settleRounds = run.runUntilEqual();
+    const int settleRounds = run.runUntilAllReachPlatform();
     run.checkContents();
     run.platform.write("key0", false);
-    const int changeRounds = run.runUntilEqual();
-    std::cout << scenario.stores << " stores, " << scenario.zones << " zones, loss "
-              << scenario.loss << ": " << startRounds << " rounds from empty, " << settleRounds
-              << " after changes, " << changeRounds << " for one change; " << run.restarts
-              << " restarts, " << run.readyBelowFormer << " ready below their former revision\n";
-    // The design expects about 14 rounds for 280 stores; lost answers cost a few more.
-    CHECK(changeRounds <= (scenario.loss > 0 ? 20 : 14));
+    const int singleChangeRounds = run.runUntilAllReachPlatform();
+    std::cout << scenario.replicas << " replicas, " << scenario.zones << " zones, loss "
+              << scenario.lossProbability << ": " << startRounds << " rounds from empty, "
+              << settleRounds << " after changes, " << singleChangeRounds << " for one change; "
+              << run.restarts << " restarts, " << run.readyBelowPreviousRevision
+              << " ready below their previous revision\n";
+    // The design expects about 14 rounds for 280 replicas. Lost replies cost a few more rounds.
+    CHECK(singleChangeRounds <= (scenario.lossProbability > 0 ? 20 : 14));
 }
--- a/src/persimmonrail/sync/tests/relay_watch_test.cpp
+++ b/src/persimmonrail/sync/tests/relay_watch_test.cpp
@@ -23,19 +23,19 @@
 
 } // namespace
 
-// Guards against changes that are skipped after a failure or a compaction, and against a list
-// where a watch from the known revision is enough.
-TEST_CASE("the relay lists, watches and lists again after a compaction")
+// Guards against changes that are skipped after a failure or a compaction, and against a list where
+// a watch from the known revision is sufficient.
+TEST_CASE("the relay watch lists first, then watches, and lists again after a compaction")
 {
     struct row
     {
         std::string name;
-        uint64_t known;
+        uint64_t knownRevision;
         std::vector<scripted_response> script;
         std::vector<std::string> events;
     };
     const auto row = GENERATE(values<struct row>({
-        {"from nothing",
+        {"no known revision",
          0,
          {upTo(5), upTo(8)},
          {"list", "listed 5", "watch 5", "changed 5 to 8", "watch 8"}},
@@ -48,22 +48,22 @@
          7,
          {{absl::OutOfRangeError("compacted")}, upTo(20)},
          {"watch 7", "failed 11", "list", "listed 20", "watch 20"}},
-        {"platform down for a moment",
+        {"platform temporarily unavailable",
          7,
          {{absl::UnavailableError("down")}, upTo(9)},
          {"watch 7", "failed 14", "watch 7", "changed 7 to 9", "watch 9"}},
     }));
     CAPTURE(row.name);
-    // Only the watch's thread appends, until the script has ended.
+    // Until the script has ended, only the thread of the watch accesses this vector.
     std::vector<std::string> events;
-    std::promise<void> ended;
-    std::promise<void> released;
+    std::promise<void> scriptEnded;
+    std::promise<void> callReleased;
     size_t next = 0;
     const auto respond = [&](const std::string &call) -> absl::StatusOr<object_list> {
         events.push_back(call);
         if (next == row.script.size()) {
-            ended.set_value();
-            released.get_future().wait();
+            scriptEnded.set_value();
+            callReleased.get_future().wait();
             return absl::UnavailableError("end of script");
         }
         const auto &step = row.script[next++];
@@ -72,7 +72,7 @@
         }
         return object_list{step.revision, {}};
     };
-    const auto note = [&](const std::string &event, uint64_t number) {
+    const auto recordEvent = [&](const std::string &event, uint64_t number) {
         events.push_back(event + " " + std::to_string(number));
     };
     object_api api;
@@ -81,19 +81,21 @@
         return respond("watch " + std::to_string(revision));
     };
     relay_watch watch(api,
-                      {[&](const object_list &list) { note("listed", list.revision); },
+                      {[&](const object_list &list) { recordEvent("listed", list.revision); },
                        [&](uint64_t since, const object_list &changes) {
-                           note("changed " + std::to_string(since) + " to", changes.revision);
+                           recordEvent("changed " + std::to_string(since) + " to",
+                                       changes.revision);
                        },
                        [&](const absl::Status &status, milliseconds) {
-                           note("failed", static_cast<uint64_t>(status.code()));
+                           recordEvent("failed", static_cast<uint64_t>(status.code()));
                        },
                        std::mt19937_64(7)});
     CHECK_FALSE(watch.isActive());
-    watch.activate(row.known);
-    ended.get_future().wait();
+    watch.activate(row.knownRevision);
+    scriptEnded.get_future().wait();
     CHECK(events == row.events);
-    // The call that is blocked here must not be followed by another one, which would end twice.
+    // No other call may follow the call that is blocked here, because a second call would set the
+    // promise `scriptEnded` again.
     watch.deactivate();
-    released.set_value();
+    callReleased.set_value();
 }
--- a/src/persimmonrail/sync/versioned_objects.cpp
+++ b/src/persimmonrail/sync/versioned_objects.cpp
@@ -13,13 +13,13 @@
             return false;
         }
         m_byVersion.erase(&known);
-        m_tombstones -= known.deleted ? 1 : 0;
+        m_tombstoneCount -= known.deleted ? 1 : 0;
     }
     known = std::move(object);
     if (known.deleted) {
         known.value.clear();
-        m_arrivals.push_back({now, known.version, known.key});
-        ++m_tombstones;
+        m_tombstonesByArrival.push_back({now, known.version, known.key});
+        ++m_tombstoneCount;
     }
     m_byVersion.insert(&known);
     return true;
@@ -31,19 +31,21 @@
     return entry == m_byKey.end() ? nullptr : &entry->second;
 }
 
-uint64_t versioned_objects::fill(wire::PullReply &reply, uint64_t after, uint64_t complete) const
+uint64_t versioned_objects::appendChanges(wire::PullReply &reply, uint64_t after,
+                                          uint64_t revision) const
 {
-    stored_object bound;
-    bound.version = after + 1;
+    stored_object lowerBound;
+    lowerBound.version = after + 1;
     size_t bytes = 0;
-    uint64_t last = after;
-    for (auto entry = m_byVersion.lower_bound(&bound); entry != m_byVersion.end(); ++entry) {
+    uint64_t lastVersion = after;
+    for (auto entry = m_byVersion.lower_bound(&lowerBound); entry != m_byVersion.end(); ++entry) {
         const auto &object = **entry;
-        // Objects that a list showed as deleted share one version and must not be separated.
-        const bool separable = object.version != last && last != after;
+        // All deletions found by one list share one version, and a reply must contain all objects
+        // of a version or none, because the next pull starts after that version.
+        const bool canEndBefore = object.version != lastVersion && lastVersion != after;
         const size_t size = object.key.size() + object.value.size();
-        if (separable && bytes + size > pullReplyBytes) {
-            return last;
+        if (canEndBefore && bytes + size > maxPullReplyBytes) {
+            return lastVersion;
         }
         auto *added = reply.add_objects();
         added->set_key(object.key);
@@ -51,33 +53,34 @@
         added->set_deleted(object.deleted);
         added->set_value(object.value);
         bytes += size;
-        last = object.version;
+        lastVersion = object.version;
     }
-    return complete;
+    return revision;
 }
 
-uint64_t versioned_objects::expire(steady_time now,
-                                   const std::function<bool(size_t, milliseconds)> &drop)
+uint64_t
+versioned_objects::expireTombstones(steady_time now,
+                                    const std::function<bool(size_t, milliseconds)> &shouldDrop)
 {
-    uint64_t highest = 0;
-    while (!m_arrivals.empty()) {
-        const auto &oldest = m_arrivals.front();
+    uint64_t highestDropped = 0;
+    while (!m_tombstonesByArrival.empty()) {
+        const auto &oldest = m_tombstonesByArrival.front();
         const auto entry = m_byKey.find(oldest.key);
-        const bool current = entry != m_byKey.end() && entry->second.deleted
+        const bool isCurrent = entry != m_byKey.end() && entry->second.deleted
             && entry->second.version == oldest.version;
-        if (current) {
-            const auto age = std::chrono::duration_cast<milliseconds>(now - oldest.at);
-            if (!drop(m_tombstones, age)) {
+        if (isCurrent) {
+            const auto age = std::chrono::duration_cast<milliseconds>(now - oldest.arrivedAt);
+            if (!shouldDrop(m_tombstoneCount, age)) {
                 break;
             }
-            highest = std::max(highest, oldest.version);
+            highestDropped = std::max(highestDropped, oldest.version);
             m_byVersion.erase(&entry->second);
             m_byKey.erase(entry);
-            --m_tombstones;
+            --m_tombstoneCount;
         }
-        m_arrivals.pop_front();
+        m_tombstonesByArrival.pop_front();
     }
-    return highest;
+    return highestDropped;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/sync/versioned_objects.h
+++ b/src/persimmonrail/sync/versioned_objects.h
@@ -15,32 +15,36 @@
 
 namespace persimmonrail {
 
-// The newest version of each object by key and by version, with the tombstones of deleted ones.
+// Holds the newest version of each object and the tombstones of deleted objects, indexed by key and
+// by version.
 //
 // Not thread safe.
 class versioned_objects
 {
 public:
-    // Takes the object over if it is newer than the known version; returns whether it was.
+    // Stores the object if its version is higher than the known version. Returns whether the object
+    // was stored.
     bool put(stored_object object, steady_time now);
-    // Includes tombstones; null if unknown.
+    // Returns the object or its tombstone, or null if the key is unknown.
     const stored_object *find(std::string_view key) const;
     const std::map<std::string, stored_object, std::less<>> &byKey() const { return m_byKey; }
-    // Adds the objects above `after` to the reply in version order, up to pullReplyBytes but at
-    // least those of one version. Returns the version up to which the reply is complete, or
-    // `complete` if nothing was left out.
-    uint64_t fill(wire::PullReply &reply, uint64_t after, uint64_t complete) const;
+    // Appends the objects whose version is higher than `after` to the reply in version order, up to
+    // maxPullReplyBytes but at least all objects of one version. Returns the version up to which
+    // the reply is complete, or `revision` if the reply contains all of these objects.
+    uint64_t appendChanges(wire::PullReply &reply, uint64_t after, uint64_t revision) const;
 
-    size_t tombstones() const { return m_tombstones; }
-    // Drops the oldest tombstones while `drop` returns true for the number that is left and the age
-    // of the oldest. Returns the highest version that was dropped, 0 if none was.
-    uint64_t expire(steady_time now,
-                    const std::function<bool(size_t left, milliseconds age)> &drop);
+    size_t tombstoneCount() const { return m_tombstoneCount; }
+    // Drops the oldest tombstone as long as `shouldDrop` returns true for the number of tombstones
+    // and the age of the oldest one. Returns the highest version that was dropped, or 0 if no
+    // tombstone was dropped.
+    uint64_t
+    expireTombstones(steady_time now,
+                     const std::function<bool(size_t count, milliseconds age)> &shouldDrop);
 
 private:
-    struct arrival
+    struct tombstone_arrival
     {
-        steady_time at;
+        steady_time arrivedAt;
         uint64_t version = 0;
         std::string key;
     };
@@ -54,11 +58,12 @@
     };
 
     std::map<std::string, stored_object, std::less<>> m_byKey;
-    // Points into m_byKey.
+    // The pointers refer to the values of m_byKey.
     std::set<const stored_object *, version_order> m_byVersion;
-    // Tombstones in the order of arrival; entries whose object has changed since are skipped.
-    std::deque<arrival> m_arrivals;
-    size_t m_tombstones = 0;
+    // Tombstones in the order of their arrival. An entry is obsolete, and is skipped, if its object
+    // has changed since.
+    std::deque<tombstone_arrival> m_tombstonesByArrival;
+    size_t m_tombstoneCount = 0;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/sync/view_builder.cpp
+++ b/src/persimmonrail/sync/view_builder.cpp
@@ -18,15 +18,15 @@
 }
 
 // Returns the key without its prefix.
-std::string nameOf(std::string_view key)
+std::string nameFromKey(std::string_view key)
 {
     return std::string(key.substr(key.find('/') + 1));
 }
 
-absl::Status nameMismatch(std::string_view name)
+absl::Status nameMismatchError(std::string_view name)
 {
     return absl::InvalidArgumentError(
-        absl::StrCat("the value is that of another object: ", toAbsl(name)));
+        absl::StrCat("the value belongs to another object: ", toAbsl(name)));
 }
 
 } // namespace
@@ -48,11 +48,11 @@
     for (const auto &update : updates) {
         keys.push_back(update.key);
     }
-    auto next = takeSpare();
+    auto next = acquireNextView();
     apply(*next, std::move(updates));
     next->revision = revision;
-    m_spare = std::move(m_current);
-    m_spareDiffers = std::move(keys);
+    m_previous = std::move(m_current);
+    m_changedSincePrevious = std::move(keys);
     m_current = std::move(next);
     return m_current;
 }
@@ -61,7 +61,7 @@
 view_builder::decodeChanges(const std::function<const stored_object *(std::string_view)> &find)
 {
     std::vector<update> updates;
-    for (const auto &key : m_changed) {
+    for (const auto &key : m_changedKeys) {
         if (!isInView(key)) {
             continue;
         }
@@ -73,24 +73,24 @@
         auto decoded = decode(*object);
         if (decoded.ok()) {
             updates.push_back(*std::move(decoded));
-        } else if (m_hooks.undecodable) {
-            m_hooks.undecodable(*object, decoded.status());
+        } else if (m_hooks.onDecodeFailure) {
+            m_hooks.onDecodeFailure(*object, decoded.status());
         }
     }
-    m_changed.clear();
+    m_changedKeys.clear();
     return updates;
 }
 
 absl::StatusOr<view_builder::update> view_builder::decode(const stored_object &object) const
 {
-    const std::string name = nameOf(object.key);
+    const std::string name = nameFromKey(object.key);
     if (object.key.starts_with(memberPrefix)) {
         auto member = decodeMember(object.value);
         if (!member.ok()) {
             return member.status();
         }
         if (member->id.name != name) {
-            return nameMismatch(member->id.name);
+            return nameMismatchError(member->id.name);
         }
         return update{object.key, *std::move(member)};
     }
@@ -100,7 +100,7 @@
             return document.status();
         }
         if (document->service != name) {
-            return nameMismatch(document->service);
+            return nameMismatchError(document->service);
         }
         return update{object.key, std::make_shared<const service_document>(*std::move(document))};
     }
@@ -109,37 +109,37 @@
         return record.status();
     }
     if (record->partition != name) {
-        return nameMismatch(record->partition);
+        return nameMismatchError(record->partition);
     }
     return update{object.key, versioned_record{*std::move(record), object.version}};
 }
 
-// Returns a view with the content of the current one that nobody else holds.
-std::shared_ptr<fleet_view> view_builder::takeSpare()
+std::shared_ptr<fleet_view> view_builder::acquireNextView()
 {
     if (!m_current) {
         return std::make_shared<fleet_view>();
     }
-    if (m_spare && m_spare.use_count() == 1) {
-        // Releasing a copy synchronises with the release by the last other holder and so orders its
-        // reads before the changes made here. A fence would do, but not under ThreadSanitizer.
-        std::shared_ptr<fleet_view>(m_spare).reset();
+    if (m_previous && m_previous.use_count() == 1) {
+        // Releasing a copy synchronizes with the release by the last other owner, and so orders the
+        // reads by that owner before the changes made here. A fence would be enough, but
+        // ThreadSanitizer does not recognize fences.
+        std::shared_ptr<fleet_view>(m_previous).reset();
         std::vector<update> updates;
-        updates.reserve(m_spareDiffers.size());
-        for (const auto &key : m_spareDiffers) {
-            updates.push_back(contentOf(*m_current, key));
+        updates.reserve(m_changedSincePrevious.size());
+        for (const auto &key : m_changedSincePrevious) {
+            updates.push_back(makeUpdate(*m_current, key));
         }
-        apply(*m_spare, std::move(updates));
-        return std::move(m_spare);
+        apply(*m_previous, std::move(updates));
+        return std::move(m_previous);
     }
     auto copy = std::make_shared<fleet_view>(*m_current);
     indexRecords(*copy);
     return copy;
 }
 
-view_builder::update view_builder::contentOf(const fleet_view &view, const std::string &key)
+view_builder::update view_builder::makeUpdate(const fleet_view &view, const std::string &key)
 {
-    const std::string name = nameOf(key);
+    const std::string name = nameFromKey(key);
     if (key.starts_with(memberPrefix)) {
         const auto entry = view.members.find(name);
         return entry == view.members.end() ? update{key, std::monostate()}
@@ -158,7 +158,7 @@
 {
     std::set<std::string> services;
     for (auto &update : updates) {
-        const std::string name = nameOf(update.key);
+        const std::string name = nameFromKey(update.key);
         if (auto *member = std::get_if<member_record>(&update.content)) {
             view.members.insert_or_assign(name, std::move(*member));
         } else if (auto *document =
