--- a/src/persimmonrail/telemetry/decision_log.cpp
+++ b/src/persimmonrail/telemetry/decision_log.cpp
@@ -19,8 +19,8 @@
 namespace persimmonrail {
 namespace {
 
-// Lines that wait for the thread that writes them.
-constexpr int asynchronousLines = 512;
+// Capacity of the buffer of an asynchronous log, in lines.
+constexpr int maxBufferedLines = 512;
 constexpr char linePattern[] = "%d{ISO8601} %-5p %m%n";
 
 log4cxx::LevelPtr toLevel(log_level level)
@@ -46,8 +46,8 @@
         return;
     }
     absl::StrAppend(&line, " ", toAbsl(name), "=");
-    // Values from requests may hold anything; control characters and spaces would break the line
-    // format.
+    // Values taken from requests may contain arbitrary bytes, and control characters and spaces
+    // would break the line format.
     for (const char c : value) {
         line += static_cast<unsigned char>(c) <= 0x20 || c == 0x7f ? '_' : c;
     }
@@ -58,11 +58,12 @@
 class decision_log::state
 {
 public:
-    explicit state(uint64_t linesPerSecond)
-        : limiter(linesPerSecond)
+    explicit state(uint64_t maxLinesPerSecond)
+        : limiter(maxLinesPerSecond)
     { }
 
-    // A hierarchy of its own, so that several logs in one process do not share their levels.
+    // Each log has its own hierarchy, so that several logs in one process do not share their
+    // levels.
     log4cxx::spi::LoggerRepositoryPtr repository = log4cxx::Hierarchy::create();
     log4cxx::LoggerPtr logger;
     std::mutex mutex;
@@ -70,7 +71,7 @@
 };
 
 decision_log::decision_log(const log_options &options)
-    : m_state(std::make_unique<state>(options.linesPerSecond))
+    : m_state(std::make_unique<state>(options.maxLinesPerSecond))
 {
     m_state->logger = m_state->repository->getLogger("persimmonrail");
     m_state->logger->setAdditivity(false);
@@ -81,11 +82,11 @@
             : static_cast<log4cxx::Appender *>(
                 new log4cxx::FileAppender(layout, options.file, true)));
     if (options.isAsynchronous) {
-        auto *const buffer = new log4cxx::AsyncAppender;
-        buffer->setBufferSize(asynchronousLines);
-        buffer->setBlocking(false);
-        buffer->addAppender(target);
-        m_state->logger->addAppender(log4cxx::AppenderPtr(buffer));
+        auto *const asyncAppender = new log4cxx::AsyncAppender;
+        asyncAppender->setBufferSize(maxBufferedLines);
+        asyncAppender->setBlocking(false);
+        asyncAppender->addAppender(target);
+        m_state->logger->addAppender(log4cxx::AppenderPtr(asyncAppender));
     } else {
         m_state->logger->addAppender(target);
     }
@@ -112,7 +113,7 @@
     uint64_t dropped = 0;
     if (level == log_level::Debug || level == log_level::Info) {
         const std::lock_guard lock(m_state->mutex);
-        if (!m_state->limiter.take(std::chrono::steady_clock::now(), dropped)) {
+        if (!m_state->limiter.allowLine(std::chrono::steady_clock::now(), dropped)) {
             return;
         }
     }
@@ -126,7 +127,7 @@
 uint64_t decision_log::droppedLines() const
 {
     const std::lock_guard lock(m_state->mutex);
-    return m_state->limiter.droppedInAll();
+    return m_state->limiter.totalDropped();
 }
 
 bool decision_log::isEnabled(log_level level) const
--- a/src/persimmonrail/telemetry/decision_log.h
+++ b/src/persimmonrail/telemetry/decision_log.h
@@ -9,10 +9,10 @@
 
 namespace persimmonrail {
 
-// One routing or placement decision. Fields that do not apply stay empty.
+// Describes one routing or placement decision. Fields that do not apply stay empty.
 struct decision
 {
-    // "route", "hand-over", "place" and the like.
+    // Event name, for example "route", "hand-over" or "place".
     std::string_view kind;
     std::string_view requestId;
     std::string_view service;
@@ -20,7 +20,7 @@
     bool hasKeyHash = false;
     std::string_view partition;
     uint64_t term = 0;
-    // Instance that was chosen.
+    // Name of the chosen instance.
     std::string_view instance;
     std::string_view outcome;
     std::string_view reason;
@@ -31,16 +31,17 @@
 struct log_options
 {
     log_level level = log_level::Info;
-    // Path of the log file; empty logs to the console.
+    // Path of the log file; if empty, lines are written to the console.
     std::string file;
-    // Lines of level Info and below that are written in one second; 0 sets no limit.
-    uint64_t linesPerSecond = 0;
-    // Hands lines to a thread of their own through a buffer that drops rather than waits, so that a
-    // reader which stands still does not hold up requests.
+    // Maximum number of lines of level Info and below that are written in one second; 0 means no
+    // limit.
+    uint64_t maxLinesPerSecond = 0;
+    // Writes the lines on a separate thread. The buffer between the threads drops lines when
+    // full instead of blocking, so that a stalled reader of the log does not delay requests.
     bool isAsynchronous = false;
 };
 
-// Log of decisions and events on log4cxx, one line each. Thread safe.
+// Writes decisions and events to a log through log4cxx, one line each. Thread safe.
 class decision_log
 {
 public:
@@ -49,15 +50,17 @@
     decision_log(const decision_log &) = delete;
     decision_log &operator=(const decision_log &) = delete;
 
-    // Logged at level Info.
+    // Logs a decision at level Info.
     void write(const decision &decision);
+    // Logs a line of text.
     void write(log_level level, std::string_view text);
     bool isEnabled(log_level level) const;
 
-    // Lines that were dropped because of the limit.
+    // Returns the number of lines that were dropped because of maxLinesPerSecond.
     uint64_t droppedLines() const;
 
-    // The line that write() logs for a decision.
+    // Returns the line that write() logs for a decision. Control characters and spaces in values
+    // are replaced by underscores.
     static std::string format(const decision &decision);
 
 private:
--- a/src/persimmonrail/telemetry/log_rate_limiter.cpp
+++ b/src/persimmonrail/telemetry/log_rate_limiter.cpp
@@ -2,24 +2,24 @@
 
 namespace persimmonrail {
 
-bool log_rate_limiter::take(steady_time now, uint64_t &dropped)
+bool log_rate_limiter::allowLine(steady_time now, uint64_t &dropped)
 {
     dropped = 0;
-    if (m_linesPerSecond == 0) {
+    if (m_maxLinesPerSecond == 0) {
         return true;
     }
     if (now - m_secondStart >= std::chrono::seconds(1)) {
         m_secondStart = now;
-        m_written = 0;
-        dropped = m_dropped;
-        m_dropped = 0;
+        m_linesInSecond = 0;
+        dropped = m_unreportedDropped;
+        m_unreportedDropped = 0;
     }
-    if (m_written >= m_linesPerSecond) {
-        ++m_dropped;
-        ++m_droppedInAll;
+    if (m_linesInSecond >= m_maxLinesPerSecond) {
+        ++m_unreportedDropped;
+        ++m_totalDropped;
         return false;
     }
-    ++m_written;
+    ++m_linesInSecond;
     return true;
 }
 
--- a/src/persimmonrail/telemetry/metrics.cpp
+++ b/src/persimmonrail/telemetry/metrics.cpp
@@ -18,9 +18,10 @@
 
 namespace acc = boost::accumulators;
 
-// The neighbours of the reported quantiles steady their estimates.
+// The quantiles next to the reported ones (0.5, 0.99 and 0.999) make the estimates of the reported
+// quantiles more stable.
 constexpr std::array<double, 7> trackedQuantiles = {0.25, 0.5, 0.9, 0.99, 0.995, 0.999, 0.9995};
-// The P-square algorithm needs one sample per marker before its first estimate.
+// The extended P-square algorithm needs one sample per marker before it can estimate a quantile.
 constexpr size_t minSamples = 2 * trackedQuantiles.size() + 3;
 
 using latency_accumulator =
@@ -59,7 +60,7 @@
     void record(double seconds)
     {
         if (acc::count(m_values) < minSamples) {
-            m_first[acc::count(m_values)] = seconds;
+            m_firstSamples[acc::count(m_values)] = seconds;
         }
         m_values(seconds);
     }
@@ -83,8 +84,9 @@
             return std::chrono::duration<double>(0);
         }
         if (count <= minSamples) {
-            // Too few samples for an estimate: the nearest of the sorted samples.
-            std::array<double, minSamples> sorted = m_first;
+            // The algorithm needs more samples for an estimate, so the nearest of the sorted
+            // samples is returned.
+            std::array<double, minSamples> sorted = m_firstSamples;
             std::sort(sorted.begin(), sorted.begin() + count);
             const auto index = static_cast<size_t>(probability * static_cast<double>(count));
             return std::chrono::duration<double>(sorted[std::min(index, count - 1)]);
@@ -96,7 +98,7 @@
     }
 
     latency_accumulator m_values;
-    std::array<double, minSamples> m_first{};
+    std::array<double, minSamples> m_firstSamples{};
 };
 
 metrics::metrics() = default;
@@ -183,7 +185,8 @@
             appendLine(text, name + "_count", labels, static_cast<double>(summary.count));
         }
     }
-    // Gauges run without the lock, since they may take locks of other slices.
+    // The gauge functions are called without the lock, because they may acquire locks of other
+    // modules.
     for (const auto &[name, read] : gauges) {
         appendType(text, name, "gauge");
         appendLine(text, name, {}, read());
--- a/src/persimmonrail/telemetry/metrics.h
+++ b/src/persimmonrail/telemetry/metrics.h
@@ -13,6 +13,7 @@
 
 namespace persimmonrail {
 
+// Latencies of the requests of one service, rank and outcome.
 struct latency_summary
 {
     uint64_t count = 0;
@@ -22,8 +23,9 @@
     std::chrono::duration<double> p999{0};
 };
 
-// Counters, gauges and latency quantiles of one daemon. Quantiles are estimated by the extended
-// P-square algorithm in constant memory, per service, rank and outcome. Thread safe.
+// Holds the counters, gauges and latency quantiles of one daemon. Latency quantiles are kept per
+// service, rank and outcome, and are estimated by the extended P-square algorithm in constant
+// memory. Thread safe.
 class metrics
 {
 public:
@@ -32,13 +34,17 @@
     metrics(const metrics &) = delete;
     metrics &operator=(const metrics &) = delete;
 
-    // `labels` are written as in the text format, for example `reason="not-owner"`.
+    // Adds `amount` to a counter. `labels` has the syntax of the Prometheus text format, for
+    // example `reason="not-owner"`.
     void count(std::string_view name, std::string_view labels = {}, uint64_t amount = 1);
+    // Returns the value of a counter, or 0 if nothing has been counted.
     uint64_t counter(std::string_view name, std::string_view labels = {}) const;
-    // The hook runs at each rendering and must be thread safe.
+    // Adds a gauge, or replaces the gauge of the same name. renderText() calls `read`, which must
+    // be thread safe.
     void addGauge(std::string_view name, std::function<double()> read);
     void recordLatency(std::string_view service, std::string_view rank, request_outcome outcome,
                        std::chrono::nanoseconds latency);
+    // Returns an empty summary if no latency has been recorded.
     latency_summary latency(std::string_view service, std::string_view rank,
                             request_outcome outcome) const;
 
@@ -52,11 +58,11 @@
     mutable std::mutex m_mutex;
     std::map<std::string, std::map<std::string, uint64_t, std::less<>>, std::less<>> m_counters;
     std::map<std::string, std::function<double()>, std::less<>> m_gauges;
-    // By label text.
+    // Latencies by label text.
     std::map<series_key, std::unique_ptr<series>, std::less<>> m_latencies;
 };
 
-// Writes a label value with the escapes that the text format requires.
+// Returns a label value with the escapes that the Prometheus text format requires.
 std::string escapeLabel(std::string_view value);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/telemetry/tests/telemetry_test.cpp
+++ b/src/persimmonrail/telemetry/tests/telemetry_test.cpp
@@ -14,8 +14,8 @@
 using namespace persimmonrail;
 using namespace std::chrono_literals;
 
-// Guards against quantile estimates that drift from the true values of a skewed distribution.
-TEST_CASE("latency quantiles are close to the true ones", "[telemetry]")
+// Guards against quantile estimates that deviate from the exact values of a skewed distribution.
+TEST_CASE("latency quantile estimates are close to the exact values", "[telemetry]")
 {
     metrics values;
     std::mt19937_64 random(7);
@@ -32,8 +32,8 @@
     CHECK(values.latency("ledger", "urgent", request_outcome::Unknown).count == 0);
 }
 
-// Guards against estimates made before the algorithm has enough samples.
-TEST_CASE("few samples give the nearest sample as quantile", "[telemetry]")
+// Guards against estimates that the algorithm makes from too few samples.
+TEST_CASE("with few samples the nearest sample is the quantile", "[telemetry]")
 {
     metrics values;
     CHECK(values.latency("a", "b", request_outcome::Run).p99.count() == 0);
@@ -76,8 +76,8 @@
     }
 }
 
-// Guards against request data that forges fields or lines of the log.
-TEST_CASE("a decision is logged as one line at the chosen level", "[telemetry]")
+// Guards against request data that inserts forged fields or lines into the log.
+TEST_CASE("a decision is logged as one line at the configured level", "[telemetry]")
 {
     decision sample;
     sample.kind = "route";
