--- a/tests/measure/policies.cpp
+++ b/tests/measure/admission_policies.cpp
@@ -1,4 +1,4 @@
-#include "measure/policies.h"
+#include "measure/admission_policies.h"
 
 #include <deque>
 #include <map>
@@ -12,11 +12,12 @@
     steady_time deadline;
 };
 
-// The parts that strict priority and weighted fair queueing have in common.
-class bounded_queues : public admission_policy
+// Base of strict priority and weighted fair queueing: one bounded FIFO queue per rank and a fixed
+// concurrency limit. Derived classes choose the rank of the next request.
+class bounded_queue_policy : public admission_policy
 {
 public:
-    bounded_queues(size_t ranks, int slots)
+    bounded_queue_policy(size_t ranks, int slots)
         : m_queues(ranks)
         , m_slots(slots)
     { }
@@ -25,11 +26,11 @@
                                    steady_time) override
     {
         const admission_options options;
-        const auto bound = static_cast<size_t>(options.queuePerSlot) * m_slots;
-        if (m_queues[rank].size() >= bound) {
+        const auto maxWaiting = static_cast<size_t>(options.queuePerSlot) * m_slots;
+        if (m_queues[rank].size() >= maxWaiting) {
             return std::nullopt;
         }
-        joined(rank);
+        onEnqueue(rank);
         m_queues[rank].push_back({m_nextId, deadline});
         return m_nextId++;
     }
@@ -57,29 +58,36 @@
     void finish(uint64_t id, request_outcome, std::string_view, std::chrono::nanoseconds latency,
                 steady_time) override
     {
-        ended(m_running[id], std::chrono::duration<double>(latency).count());
+        onFinish(m_running[id], std::chrono::duration<double>(latency).count());
         m_running.erase(id);
     }
 
     int limit() const override { return m_slots; }
 
 protected:
+    // Returns the rank whose first waiting request is decided on next, or nullopt if no request
+    // waits.
     virtual std::optional<size_t> chooseRank() = 0;
-    virtual void joined(size_t) { }
-    virtual void ended(size_t, double) { }
+    // Called before a request of this rank is added to its queue.
+    virtual void onEnqueue(size_t) { }
+    // Called after a request of this rank has run for this number of seconds.
+    virtual void onFinish(size_t, double) { }
 
+    // Waiting requests per rank, the most urgent rank first.
     std::vector<std::deque<waiting_request>> m_queues;
 
 private:
     const int m_slots;
+    // Rank of each running request, by request id.
     std::map<uint64_t, size_t> m_running;
     uint64_t m_nextId = 1;
 };
 
-class strict_priority : public bounded_queues
+// Starts the first request of the most urgent rank that has waiting requests.
+class strict_priority_policy : public bounded_queue_policy
 {
 public:
-    using bounded_queues::bounded_queues;
+    using bounded_queue_policy::bounded_queue_policy;
 
 protected:
     std::optional<size_t> chooseRank() override
@@ -94,14 +102,15 @@
 };
 
 // Start-time fair queueing over ranks; the cost of a request is the mean service time of its rank.
-class weighted_fair : public bounded_queues
+class weighted_fair_policy : public bounded_queue_policy
 {
 public:
-    weighted_fair(const std::vector<double> &weights, int slots)
-        : bounded_queues(weights.size(), slots)
+    weighted_fair_policy(const std::vector<double> &weights, int slots)
+        : bounded_queue_policy(weights.size(), slots)
         , m_weights(weights)
-        , m_start(weights.size())
-        , m_service(weights.size(), 0.005)
+        , m_startTags(weights.size())
+        // Assumed until the first request of a rank finishes: 5 ms, as in admission_options.
+        , m_meanServiceTimes(weights.size(), 0.005)
     { }
 
 protected:
@@ -109,38 +118,43 @@
     {
         std::optional<size_t> chosen;
         for (size_t i = 0; i < m_queues.size(); ++i) {
-            if (!m_queues[i].empty() && (!chosen || m_start[i] < m_start[*chosen])) {
+            if (!m_queues[i].empty() && (!chosen || m_startTags[i] < m_startTags[*chosen])) {
                 chosen = i;
             }
         }
         if (chosen) {
-            m_virtualTime = m_start[*chosen];
-            m_start[*chosen] += m_service[*chosen] / m_weights[*chosen];
+            m_virtualTime = m_startTags[*chosen];
+            m_startTags[*chosen] += m_meanServiceTimes[*chosen] / m_weights[*chosen];
         }
         return chosen;
     }
-    void joined(size_t rank) override
+    void onEnqueue(size_t rank) override
     {
         if (m_queues[rank].empty()) {
-            m_start[rank] = std::max(m_start[rank], m_virtualTime);
+            m_startTags[rank] = std::max(m_startTags[rank], m_virtualTime);
         }
     }
-    void ended(size_t rank, double seconds) override
+    void onFinish(size_t rank, double seconds) override
     {
-        m_service[rank] += (seconds - m_service[rank]) * 0.05;
+        // Exponentially weighted moving average.
+        m_meanServiceTimes[rank] += (seconds - m_meanServiceTimes[rank]) * 0.05;
     }
 
 private:
     const std::vector<double> m_weights;
-    std::vector<double> m_start;
-    std::vector<double> m_service;
+    // Virtual start time of the next request of each rank.
+    std::vector<double> m_startTags;
+    // Mean service time of each rank in seconds.
+    std::vector<double> m_meanServiceTimes;
+    // Start tag of the last started request.
     double m_virtualTime = 0;
 };
 
-class floors_and_limit : public admission_policy
+// Adapts admission_queue, which has floors per rank and an adaptive concurrency limit.
+class admission_queue_policy : public admission_policy
 {
 public:
-    floors_and_limit(const std::vector<double> &floors, int slots, steady_time now)
+    admission_queue_policy(const std::vector<double> &floors, int slots, steady_time now)
         : m_queue({}, floors, slots, now)
     { }
 
@@ -165,18 +179,18 @@
 
 } // namespace
 
-std::vector<policy_kind> allPolicies()
+std::vector<policy_factory> allPolicyFactories()
 {
     return {{"strict-priority",
              [](const std::vector<double> &floors, int slots, steady_time) {
-                 return std::make_unique<strict_priority>(floors.size(), slots);
+                 return std::make_unique<strict_priority_policy>(floors.size(), slots);
              }},
             {"weighted-fair",
              [](const std::vector<double> &floors, int slots, steady_time) {
-                 return std::make_unique<weighted_fair>(floors, slots);
+                 return std::make_unique<weighted_fair_policy>(floors, slots);
              }},
             {"floors-and-limit", [](const std::vector<double> &floors, int slots, steady_time now) {
-                 return std::make_unique<floors_and_limit>(floors, slots, now);
+                 return std::make_unique<admission_queue_policy>(floors, slots, now);
              }}};
 }
 
--- a/tests/measure/policies.h
+++ b/tests/measure/admission_policies.h
@@ -9,7 +9,8 @@
 
 namespace persimmonrail {
 
-// What the simulation asks of an admission policy; as admission_queue, with refusals as false.
+// Admission policy of one upstream, as the simulation calls it. The functions behave like those of
+// admission_queue, except that submit() returns nullopt for a rejected request. Not thread safe.
 class admission_policy
 {
 public:
@@ -22,16 +23,21 @@
     virtual int limit() const = 0;
 };
 
-struct policy_kind
+// Creates instances of one policy.
+struct policy_factory
 {
+    // Name of the policy in the output.
     std::string name;
+    // `floors` holds the guaranteed minimum share of each rank, the most urgent rank first. `slots`
+    // is the number of requests that the upstream runs concurrently.
     std::function<std::unique_ptr<admission_policy>(const std::vector<double> &floors, int slots,
                                                     steady_time now)>
         make;
 };
 
-// Strict priority and weighted fair queueing (weights: the floors) with all slots as their limit
-// and the queue bound of admission_queue, and admission_queue itself.
-std::vector<policy_kind> allPolicies();
+// Returns factories of the compared policies: strict priority, weighted fair queueing with the
+// floors as weights, and admission_queue. The first two always use all slots as their concurrency
+// limit; their queues have the same maximum length as those of admission_queue.
+std::vector<policy_factory> allPolicyFactories();
 
 } // namespace persimmonrail
--- a/tests/measure/open_load_main.cpp
+++ b/tests/measure/open_load_main.cpp
@@ -1,5 +1,7 @@
-// Sends PUT requests of 1 KB at a fixed rate for a fixed time, whatever the answers (open loop),
-// and prints one JSON line. Latencies count from the time at which a request was due.
+// Open-loop load generator. Sends PUT requests with a body of 1 KB at a fixed rate for a fixed
+// time, independently of the responses, and prints one JSON line. The latency of a request is
+// counted from the time at which the request was scheduled, so that it includes the wait for a free
+// connection.
 #include <Poco/Net/HTTPClientSession.h>
 #include <Poco/Net/HTTPRequest.h>
 #include <Poco/Net/HTTPResponse.h>
@@ -32,22 +34,27 @@
                          "  --connections N    connections, at most 512\n";
 
 constexpr size_t bodyBytes = 1024;
+// Requests use the keys "key-0" to "key-199" in turn.
 constexpr int keyCount = 200;
 
 struct load_options
 {
     std::string address;
+    // Prefix of the path before the key.
     std::string path = "/haulbook/hauls/";
+    // Requests per second.
     int rate = 1000;
     int seconds = 10;
     int connections = 128;
 };
 
-bool parseBounded(const char *text, int most, int &value)
+// Parses an integer from 1 to `maxValue`; returns false for any other text.
+bool parseBounded(const char *text, int maxValue, int &value)
 {
-    return absl::SimpleAtoi(text, &value) && value >= 1 && value <= most;
+    return absl::SimpleAtoi(text, &value) && value >= 1 && value <= maxValue;
 }
 
+// Returns false if a flag is unknown, has an invalid value or if the address is missing.
 bool parseFlags(int argc, char **argv, load_options &options)
 {
     constexpr option flags[] = {{"address", required_argument, nullptr, 'a'},
@@ -82,76 +89,85 @@
     return ok && !options.address.empty() && optind == argc;
 }
 
-// What one connection measured.
+// Results of the requests of one connection.
 struct connection_result
 {
+    // Latencies of the requests with status 200, 201 or 204.
     std::vector<double> latenciesMs;
+    // Requests with status 429 or 503.
     int refused = 0;
+    // Requests with any other status or without a complete response.
     int failed = 0;
 };
 
-class load
+// Sends the load over all connections, with one thread for each, and prints the result.
+class load_generator
 {
 public:
-    explicit load(const load_options &options)
+    explicit load_generator(const load_options &options)
         : m_options(options)
         , m_total(options.rate * options.seconds)
         , m_body(bodyBytes, 'x')
         , m_results(static_cast<size_t>(options.connections))
     { }
 
+    // Returns when all requests have been sent and have ended.
     void run()
     {
-        // Leaves the threads time to start and connect.
+        // Gives the threads 500 ms to start before the first request is scheduled.
         m_start = steady_clock::now() + std::chrono::milliseconds(500);
         std::vector<std::thread> threads;
         for (connection_result &result : m_results) {
-            threads.emplace_back([this, &result] { serveConnection(result); });
+            threads.emplace_back([this, &result] { runConnection(result); });
         }
         for (std::thread &thread : threads) {
             thread.join();
         }
     }
 
+    // Prints the result as one JSON line; run() must have returned.
     void print() const
     {
-        std::vector<double> all;
+        std::vector<double> latenciesMs;
         int refused = 0;
         int failed = 0;
         for (const connection_result &result : m_results) {
-            all.insert(all.end(), result.latenciesMs.begin(), result.latenciesMs.end());
+            latenciesMs.insert(latenciesMs.end(), result.latenciesMs.begin(),
+                               result.latenciesMs.end());
             refused += result.refused;
             failed += result.failed;
         }
-        std::sort(all.begin(), all.end());
-        const auto quantile = [&all](double part) {
-            const auto at = static_cast<size_t>(part * static_cast<double>(all.size()));
-            return all.empty() ? 0 : all[std::min(at, all.size() - 1)];
+        std::sort(latenciesMs.begin(), latenciesMs.end());
+        const auto quantile = [&latenciesMs](double fraction) {
+            const auto index =
+                static_cast<size_t>(fraction * static_cast<double>(latenciesMs.size()));
+            return latenciesMs.empty() ? 0 : latenciesMs[std::min(index, latenciesMs.size() - 1)];
         };
         const double seconds = std::chrono::duration<double>(steady_clock::now() - m_start).count();
         std::cout << absl::StrFormat("{\"offered\":%d,\"rate\":%d,\"ok\":%d,\"refused\":%d,"
                                      "\"failed\":%d,\"seconds\":%.2f,\"p50_ms\":%.2f,"
                                      "\"p99_ms\":%.2f,\"p99.9_ms\":%.2f}\n",
-                                     m_total, m_options.rate, all.size(), refused, failed, seconds,
-                                     quantile(0.5), quantile(0.99), quantile(0.999));
+                                     m_total, m_options.rate, latenciesMs.size(), refused, failed,
+                                     seconds, quantile(0.5), quantile(0.99), quantile(0.999));
     }
 
 private:
-    // Takes the next request that is due and sends it, until all are sent.
-    void serveConnection(connection_result &result)
+    // Sends requests over one connection, one at a time: takes the next request that no connection
+    // has taken, waits for its scheduled time and sends it, until no request is left.
+    void runConnection(connection_result &result)
     {
         Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(m_options.address)};
         session.setKeepAlive(true);
         session.setTimeout(Poco::Timespan(5, 0));
         for (int i = m_next++; i < m_total; i = m_next++) {
-            const auto due =
+            const auto scheduledAt =
                 m_start + std::chrono::nanoseconds(1'000'000'000LL * i / m_options.rate);
-            std::this_thread::sleep_until(due);
+            std::this_thread::sleep_until(scheduledAt);
             try {
-                const int status = send(session, i % keyCount);
+                const int status = sendRequest(session, i % keyCount);
                 if (status == 200 || status == 201 || status == 204) {
                     result.latenciesMs.push_back(
-                        std::chrono::duration<double, std::milli>(steady_clock::now() - due)
+                        std::chrono::duration<double, std::milli>(steady_clock::now() - scheduledAt)
                             .count());
                 } else if (status == 429 || status == 503) {
                     ++result.refused;
@@ -165,7 +181,9 @@
         }
     }
 
-    int send(Poco::Net::HTTPClientSession &session, int key)
+    // Sends one PUT request for a key and returns the status of the response. Throws
+    // Poco::Exception if no complete response arrives.
+    int sendRequest(Poco::Net::HTTPClientSession &session, int key)
     {
         Poco::Net::HTTPRequest request("PUT", absl::StrCat(m_options.path, "key-", key),
                                        "HTTP/1.1");
@@ -182,7 +200,9 @@
     const int m_total;
     const std::string m_body;
     std::vector<connection_result> m_results;
+    // Number of the next request that no connection has taken.
     std::atomic<int> m_next = 0;
+    // Scheduled time of the first request.
     steady_clock::time_point m_start;
 };
 
@@ -195,8 +215,8 @@
         std::cerr << usage;
         return 2;
     }
-    load run(options);
-    run.run();
-    run.print();
+    load_generator generator(options);
+    generator.run();
+    generator.print();
     return 0;
 }
--- a/tests/measure/ownership_measure_main.cpp
+++ b/tests/measure/ownership_measure_main.cpp
@@ -1,6 +1,7 @@
-// Measures the promises of ownership and configuration on a site of real processes: 4 instances of
-// haulbook and 3 of ledger on this machine. Prints one JSON line per scenario. Times are measured
-// by a caller; the load of other programs on the machine is part of them.
+// Measures failover, moves of partitions, changes of the configuration and the cost of idle daemons
+// against their bounds. The site consists of real processes on this machine: 4 instances of
+// haulbook and 3 of ledger. Prints one JSON line per scenario. A caller measures the times, so the
+// load of other programs on the machine affects the results.
 
 #include "process/site.h"
 
@@ -23,24 +24,29 @@
 
 using Poco::JSON::Object;
 
-constexpr int lossCount = 10;
-constexpr int configurationChanges = 10;
-constexpr double unavailableBoundMs = 2000;
-constexpr double configurationBoundMs = 19'000;
-constexpr double configurationAimMs = 2000;
-constexpr double cpuBoundPercent = 4.1;
-constexpr double memoryBoundMb = 128;
-constexpr double controlBoundKbPerSecond = 30;
+// Failures per scenario with failures; the instances of haulbook fail in turn.
+constexpr int failureCount = 10;
+constexpr int configurationChangeCount = 10;
+// Bounds of the scenarios, printed as "bound_...".
+constexpr double maxUnavailableMs = 2000;
+constexpr double maxConfigurationMs = 19'000;
+// Printed as "aim_ms"; only the bound decides whether the scenario passes.
+constexpr double configurationObjectiveMs = 2000;
+constexpr double maxCpuPercent = 4.1;
+constexpr double maxMemoryMb = 128;
+constexpr double maxControlKbPerSecond = 30;
+// Time over which the rates of idle daemons are averaged.
 constexpr milliseconds idleWindow{10'000};
-// A caller gives up an attempt after this time and tries again.
-constexpr milliseconds probeTimeout{1'000};
+// A caller abandons an attempt after this time and tries again.
+constexpr milliseconds attemptTimeout{1'000};
 
-double msSince(steady_time begun)
+double msSince(steady_time start)
 {
-    return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begun)
+    return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - start)
         .count();
 }
 
+// Prints `line` with the name of the scenario as one line of JSON.
 void print(const std::string &scenario, Object &line)
 {
     line.set("scenario", scenario);
@@ -48,51 +54,57 @@
     std::cout << std::endl;
 }
 
-double round1(double value)
+double roundToTenth(double value)
 {
     return std::round(value * 10) / 10;
 }
 
-void setSpread(Object &line, std::vector<double> values, const std::string &unit)
+// Sets the number, the minimum, the median and the maximum of the values.
+void setStatistics(Object &line, std::vector<double> values, const std::string &unit)
 {
     std::sort(values.begin(), values.end());
     line.set("count", values.size());
     if (!values.empty()) {
-        line.set("min_" + unit, round1(values.front()));
-        line.set("median_" + unit, round1(values[values.size() / 2]));
-        line.set("max_" + unit, round1(values.back()));
+        line.set("min_" + unit, roundToTenth(values.front()));
+        line.set("median_" + unit, roundToTenth(values[values.size() / 2]));
+        line.set("max_" + unit, roundToTenth(values.back()));
     }
 }
 
-Object::Ptr platformCalls(const site &all)
+// Returns the call counters of the platform stand-in.
+Object::Ptr readPlatformCalls(const site &testSite)
 {
-    return parseJson(call("GET", all.platform(), "/control/calls").body);
+    return parseJson(call("GET", testSite.platform(), "/control/calls").body);
 }
 
-// Calls per second between two readings, and the watches that wait at the end.
+// Sets the calls per second and the number of refused calls between two readings, and the number of
+// watches that wait at the second reading.
 void setCallRates(Object &line, const Object::Ptr &before, const Object::Ptr &after, double seconds)
 {
     for (const char *name : {"reads", "writes"}) {
         const auto count = after->getValue<double>(name) - before->getValue<double>(name);
-        line.set(absl::StrCat(name, "_per_second"), round1(count / seconds));
+        line.set(absl::StrCat(name, "_per_second"), roundToTenth(count / seconds));
     }
     line.set("waiting_watches", after->getValue<int>("waiting_watches"));
     line.set("refused", after->getValue<int>("refused") - before->getValue<int>("refused"));
 }
 
-double metric(const site_instance &instance, const std::string &name)
+// Returns the value of a metric without labels from the daemon of `instance`, or NAN if the daemon
+// does not export the metric.
+double readMetric(const site_instance &instance, const std::string &name)
 {
     const std::string text = "\n" + call("GET", instance.admin(), "/metrics").body;
-    const size_t at = text.find("\n" + name + " ");
+    const size_t position = text.find("\n" + name + " ");
     double value = NAN;
-    if (at != std::string::npos) {
-        const size_t begin = at + name.size() + 2;
+    if (position != std::string::npos) {
+        const size_t begin = position + name.size() + 2;
         (void)absl::SimpleAtod(text.substr(begin, text.find('\n', begin) - begin), &value);
     }
     return value;
 }
 
-double residentMb(const child_process &process)
+// Returns the resident set size of a process in MiB, or NAN if the process has ended.
+double readResidentMb(const child_process &process)
 {
     std::ifstream status(absl::StrCat("/proc/", process.pid(), "/status"));
     for (std::string line; std::getline(status, line);) {
@@ -103,28 +115,32 @@
     return NAN;
 }
 
-void measureIdle(site &all)
+// Measures the processor time, memory, control traffic and platform calls of daemons without
+// requests.
+void measureIdle(site &testSite)
 {
     struct reading
     {
+        // Processor time in seconds since the start of the daemon.
         double cpu;
+        // Control bytes sent since the start of the daemon.
         double bytes;
     };
     const auto read = [&] {
         std::vector<reading> readings;
-        for (const auto &instance : all.instances()) {
-            readings.push_back({metric(*instance, "persimmonrail_process_cpu_seconds"),
-                                metric(*instance, "persimmonrail_control_sent_bytes")});
+        for (const auto &instance : testSite.instances()) {
+            readings.push_back({readMetric(*instance, "persimmonrail_process_cpu_seconds"),
+                                readMetric(*instance, "persimmonrail_control_sent_bytes")});
         }
         return readings;
     };
-    const auto begun = std::chrono::steady_clock::now();
-    const auto callsBefore = platformCalls(all);
+    const auto start = std::chrono::steady_clock::now();
+    const auto callsBefore = readPlatformCalls(testSite);
     const auto before = read();
     std::this_thread::sleep_for(idleWindow);
     const auto after = read();
-    const auto callsAfter = platformCalls(all);
-    const double seconds = msSince(begun) / 1000;
+    const auto callsAfter = readPlatformCalls(testSite);
+    const double seconds = msSince(start) / 1000;
 
     std::vector<double> cpu;
     std::vector<double> memory;
@@ -132,53 +148,58 @@
     for (size_t i = 0; i < before.size(); ++i) {
         cpu.push_back((after[i].cpu - before[i].cpu) / seconds * 100);
         control.push_back((after[i].bytes - before[i].bytes) / seconds / 1000);
-        memory.push_back(residentMb(*all.instances()[i]->daemon));
+        memory.push_back(readResidentMb(*testSite.instances()[i]->daemon));
     }
-    const auto report = [](const std::string &name, const std::vector<double> &values,
-                           const std::string &unit, double bound) {
+    const auto printReadings = [](const std::string &name, const std::vector<double> &values,
+                                  const std::string &unit, double maxValue) {
         Object line;
-        setSpread(line, values, unit);
-        line.set("bound_" + unit, bound);
-        line.set("within", *std::max_element(values.begin(), values.end()) <= bound);
+        setStatistics(line, values, unit);
+        line.set("bound_" + unit, maxValue);
+        line.set("within", *std::max_element(values.begin(), values.end()) <= maxValue);
         print(name, line);
     };
-    report("idle-daemon-cpu", cpu, "percent_of_core", cpuBoundPercent);
-    report("idle-daemon-memory", memory, "mb", memoryBoundMb);
-    report("idle-daemon-control-sent", control, "kb_per_second", controlBoundKbPerSecond);
+    printReadings("idle-daemon-cpu", cpu, "percent_of_core", maxCpuPercent);
+    printReadings("idle-daemon-memory", memory, "mb", maxMemoryMb);
+    printReadings("idle-daemon-control-sent", control, "kb_per_second", maxControlKbPerSecond);
     Object line;
     setCallRates(line, callsBefore, callsAfter, seconds);
     print("idle-platform-calls", line);
 }
 
-std::map<std::string, std::string> ownersOf(const site &all, const std::string &service)
+// Returns the recorded owner of each partition of a service.
+std::map<std::string, std::string> readOwners(const site &testSite, const std::string &service)
 {
     std::map<std::string, std::string> owners;
-    for (const auto &record : all.placements(service)) {
+    for (const auto &record : testSite.placements(service)) {
         owners[record.partition] = record.owner.name;
     }
     return owners;
 }
 
-// Waits until the owners stay the same for a while; returns them.
-std::map<std::string, std::string> settledOwners(const site &all, const std::string &service)
+// Waits until the recorded owners have not changed for 3 s, but at most 60 s. Returns the last
+// recorded owners.
+std::map<std::string, std::string> awaitStableOwners(const site &testSite,
+                                                     const std::string &service)
 {
-    constexpr milliseconds quietTime{3'000};
-    auto owners = ownersOf(all, service);
+    constexpr milliseconds stableTime{3'000};
+    auto owners = readOwners(testSite, service);
     auto since = std::chrono::steady_clock::now();
     awaitTrue(
         [&] {
-            auto current = ownersOf(all, service);
+            auto current = readOwners(testSite, service);
             if (current != owners) {
                 owners = std::move(current);
                 since = std::chrono::steady_clock::now();
             }
-            return std::chrono::steady_clock::now() - since >= quietTime;
+            return std::chrono::steady_clock::now() - since >= stableTime;
         },
         milliseconds(60'000));
     return owners;
 }
 
-std::map<std::string, size_t> countsOf(const std::map<std::string, std::string> &owners)
+// Returns the number of partitions of each owner.
+std::map<std::string, size_t>
+countPartitionsByOwner(const std::map<std::string, std::string> &owners)
 {
     std::map<std::string, size_t> counts;
     for (const auto &[partition, owner] : owners) {
@@ -187,20 +208,23 @@
     return counts;
 }
 
+// Sets the number of partitions and of instances, and the largest number of partitions that one
+// instance owns divided by the mean number per instance.
 void setImbalance(Object &line, const std::map<std::string, std::string> &owners, size_t instances)
 {
-    size_t most = 0;
-    for (const auto &[owner, count] : countsOf(owners)) {
-        most = std::max(most, count);
+    size_t maxCount = 0;
+    for (const auto &[owner, count] : countPartitionsByOwner(owners)) {
+        maxCount = std::max(maxCount, count);
     }
     const double mean = static_cast<double>(owners.size()) / static_cast<double>(instances);
     line.set("partitions", owners.size());
     line.set("instances", instances);
-    line.set("max_over_mean", std::round(static_cast<double>(most) / mean * 100) / 100);
+    line.set("max_over_mean", std::round(static_cast<double>(maxCount) / mean * 100) / 100);
 }
 
-size_t moved(const std::map<std::string, std::string> &before,
-             const std::map<std::string, std::string> &after)
+// Returns the number of partitions in `before` that have another owner or none in `after`.
+size_t countMoved(const std::map<std::string, std::string> &before,
+                  const std::map<std::string, std::string> &after)
 {
     return static_cast<size_t>(std::count_if(before.begin(), before.end(), [&](const auto &entry) {
         const auto found = after.find(entry.first);
@@ -208,20 +232,24 @@
     }));
 }
 
-// Time from the loss of the owner to the first answer, for each probe key of the owner.
-std::vector<double> unavailableTimes(const site_instance &through,
-                                     const std::vector<std::string> &keys, steady_time lost)
+// Returns, for each of `keys`, the milliseconds from the failure of their owner to the first
+// successful response, or NAN for a key that is not served within the default bound of awaitTrue().
+// One thread per key sends requests through the daemon of `entryInstance`.
+std::vector<double> measureUnavailableTimes(const site_instance &entryInstance,
+                                            const std::vector<std::string> &keys,
+                                            steady_time failedAt)
 {
     std::vector<double> times(keys.size(), NAN);
     std::vector<std::thread> callers;
     for (size_t i = 0; i < keys.size(); ++i) {
         callers.emplace_back([&, i] {
-            const bool served = awaitTrue([&] {
-                const auto reply = call("PUT", through.callers(), "/haulbook/hauls/" + keys[i],
-                                        "probe", "", probeTimeout);
-                return reply.ran();
+            const bool isServed = awaitTrue([&] {
+                const auto response =
+                    call("PUT", entryInstance.callers(), "/haulbook/hauls/" + keys[i], "probe", "",
+                         attemptTimeout);
+                return response.ran();
             });
-            times[i] = served ? msSince(lost) : NAN;
+            times[i] = isServed ? msSince(failedAt) : NAN;
         });
     }
     for (auto &caller : callers) {
@@ -230,144 +258,154 @@
     return times;
 }
 
-// Waits until every instance is ready and owns partitions as before the loss.
-bool awaitRestored(site &all)
+// Waits at most 60 s until every instance is ready and all 4 instances of haulbook own partitions.
+// Returns whether they did.
+bool awaitRecovery(site &testSite)
 {
     return awaitTrue(
         [&] {
-            const auto counts = countsOf(ownersOf(all, "haulbook"));
+            const auto counts = countPartitionsByOwner(readOwners(testSite, "haulbook"));
             return counts.size() == 4
-                && std::all_of(all.instances().begin(), all.instances().end(),
+                && std::all_of(testSite.instances().begin(), testSite.instances().end(),
                                [](const auto &instance) { return site::isReady(*instance); });
         },
         milliseconds(60'000));
 }
 
-enum class loss_kind { Instance, Daemon, FrozenDaemon };
+// What fails: an owner's daemon and upstream (killed), its daemon alone (killed), or its daemon
+// alone (suspended with SIGSTOP).
+enum class failure_kind { Instance, Daemon, SuspendedDaemon };
 
-void begin(loss_kind kind, site_instance &owner)
+void injectFailure(failure_kind kind, site_instance &owner)
 {
     switch (kind) {
-    case loss_kind::Instance:
+    case failure_kind::Instance:
         site::lose(owner);
         break;
-    case loss_kind::Daemon:
+    case failure_kind::Daemon:
         owner.daemon->killAndReap();
         break;
-    case loss_kind::FrozenDaemon:
+    case failure_kind::SuspendedDaemon:
         owner.daemon->signal(SIGSTOP);
         break;
     }
 }
 
-void end(loss_kind kind, const site &all, site_instance &owner)
+// Restarts the killed processes or resumes the suspended daemon.
+void endFailure(failure_kind kind, const site &testSite, site_instance &owner)
 {
-    if (kind == loss_kind::FrozenDaemon) {
+    if (kind == failure_kind::SuspendedDaemon) {
         owner.daemon->signal(SIGCONT);
         return;
     }
-    all.startDaemon(owner);
-    if (kind == loss_kind::Instance) {
-        all.startUpstream(owner);
+    testSite.startDaemon(owner);
+    if (kind == failure_kind::Instance) {
+        testSite.startUpstream(owner);
     }
 }
 
-void measureLosses(site &all, const std::string &name, loss_kind kind)
+// Measures how long the keys of a failed owner are unavailable, and how often the daemons call the
+// platform from the failure until the keys are served again, but for at least 3 s.
+void measureFailures(site &testSite, const std::string &name, failure_kind kind)
 {
     std::vector<double> times;
-    int unserved = 0;
-    const auto &through = all.instance("ledger-1");
+    int unservedCount = 0;
+    const auto &entryInstance = testSite.instance("ledger-1");
     double failoverSeconds = 0;
     Object::Ptr callsAfter;
     double reads = 0;
     double writes = 0;
-    for (int i = 0; i < lossCount; ++i) {
-        auto &owner = all.instance(absl::StrCat("haulbook-", i % 4));
+    for (int i = 0; i < failureCount; ++i) {
+        auto &owner = testSite.instance(absl::StrCat("haulbook-", i % 4));
         std::vector<std::string> keys = site::probeKeys();
         std::erase_if(keys, [&](const std::string &key) {
-            return site::ownerOf(through, key) != owner.name;
+            return site::ownerOf(entryInstance, key) != owner.name;
         });
-        const auto before = platformCalls(all);
-        const auto lost = std::chrono::steady_clock::now();
-        begin(kind, owner);
-        for (const double time : unavailableTimes(through, keys, lost)) {
+        const auto before = readPlatformCalls(testSite);
+        const auto failedAt = std::chrono::steady_clock::now();
+        injectFailure(kind, owner);
+        for (const double time : measureUnavailableTimes(entryInstance, keys, failedAt)) {
             if (std::isnan(time)) {
-                ++unserved;
+                ++unservedCount;
             } else {
                 times.push_back(time);
             }
         }
-        std::this_thread::sleep_until(lost + std::chrono::seconds(3));
-        const auto after = platformCalls(all);
+        std::this_thread::sleep_until(failedAt + std::chrono::seconds(3));
+        const auto after = readPlatformCalls(testSite);
         reads += after->getValue<double>("reads") - before->getValue<double>("reads");
         writes += after->getValue<double>("writes") - before->getValue<double>("writes");
-        failoverSeconds += msSince(lost) / 1000;
+        failoverSeconds += msSince(failedAt) / 1000;
         callsAfter = after;
-        end(kind, all, owner);
-        if (!awaitRestored(all)) {
-            std::cerr << "the site is not as before after loss " << i + 1 << "\n";
+        endFailure(kind, testSite, owner);
+        if (!awaitRecovery(testSite)) {
+            std::cerr << "the site did not recover after failure " << i + 1 << "\n";
         }
-        settledOwners(all, "haulbook");
+        awaitStableOwners(testSite, "haulbook");
     }
     Object line;
-    setSpread(line, times, "ms");
-    line.set("losses", lossCount);
-    line.set("unserved_keys", unserved);
-    line.set("bound_ms", unavailableBoundMs);
-    const auto beyond = std::count_if(times.begin(), times.end(),
-                                      [](double time) { return time > unavailableBoundMs; });
-    line.set("keys_beyond_bound", beyond);
-    line.set("within", unserved == 0 && beyond == 0 && !times.empty());
+    setStatistics(line, times, "ms");
+    line.set("losses", failureCount);
+    line.set("unserved_keys", unservedCount);
+    line.set("bound_ms", maxUnavailableMs);
+    const auto beyondBoundCount = std::count_if(
+        times.begin(), times.end(), [](double time) { return time > maxUnavailableMs; });
+    line.set("keys_beyond_bound", beyondBoundCount);
+    line.set("within", unservedCount == 0 && beyondBoundCount == 0 && !times.empty());
     print(name, line);
-    Object calls;
-    calls.set("reads_per_second", round1(reads / failoverSeconds));
-    calls.set("writes_per_second", round1(writes / failoverSeconds));
-    calls.set("waiting_watches", callsAfter->getValue<int>("waiting_watches"));
-    print(name + "-platform-calls", calls);
+    Object callRates;
+    callRates.set("reads_per_second", roundToTenth(reads / failoverSeconds));
+    callRates.set("writes_per_second", roundToTenth(writes / failoverSeconds));
+    callRates.set("waiting_watches", callsAfter->getValue<int>("waiting_watches"));
+    print(name + "-platform-calls", callRates);
 }
 
-void measureImbalance(site &all)
+// Measures how evenly the partitions of each service are distributed.
+void measureImbalance(site &testSite)
 {
     for (const char *service : {"haulbook", "ledger"}) {
         Object line;
-        setImbalance(line, settledOwners(all, service), std::string(service) == "haulbook" ? 4 : 3);
+        setImbalance(line, awaitStableOwners(testSite, service),
+                     std::string(service) == "haulbook" ? 4 : 3);
         print(absl::StrCat("imbalance-", service), line);
     }
 }
 
-// Partitions that move when an instance stops gracefully and joins again. The minimum is the share
-// of the instance: all of it when it leaves, partitions/instances when it joins.
-void measureChurn(site &all)
+// Measures how many partitions move when an instance stops gracefully and when it joins again. The
+// minimum is the share of the instance: all its partitions when it stops, and the number of
+// partitions divided by the number of instances when it joins.
+void measureChurn(site &testSite)
 {
-    const auto before = settledOwners(all, "haulbook");
-    auto &instance = all.instance("haulbook-2");
+    const auto before = awaitStableOwners(testSite, "haulbook");
+    auto &instance = testSite.instance("haulbook-2");
     instance.daemon->signal(SIGTERM);
     instance.daemon->awaitExit(milliseconds(60'000));
-    const auto without = settledOwners(all, "haulbook");
+    const auto duringAbsence = awaitStableOwners(testSite, "haulbook");
     Object leave;
-    leave.set("moved", moved(before, without));
-    leave.set("minimum", countsOf(before)[instance.name]);
-    setImbalance(leave, without, 3);
+    leave.set("moved", countMoved(before, duringAbsence));
+    leave.set("minimum", countPartitionsByOwner(before)[instance.name]);
+    setImbalance(leave, duringAbsence, 3);
     print("churn-leave", leave);
 
-    all.startDaemon(instance);
-    awaitRestored(all);
-    const auto after = settledOwners(all, "haulbook");
+    testSite.startDaemon(instance);
+    awaitRecovery(testSite);
+    const auto after = awaitStableOwners(testSite, "haulbook");
     Object join;
-    join.set("moved", moved(without, after));
+    join.set("moved", countMoved(duringAbsence, after));
     join.set("minimum", after.size() / 4);
     setImbalance(join, after, 4);
     print("churn-join", join);
 }
 
-// Time from the start of persimmonctl until every daemon answers by the new document. The change
-// adds an operation without which the request is refused.
-void measureConfiguration(site &all)
+// Measures the time from the start of persimmonctl until every daemon serves requests according to
+// the new document. Each change adds an operation; daemons reject requests for it until the change
+// is in force.
+void measureConfiguration(site &testSite)
 {
     std::vector<double> times;
     const std::string document = readFile(std::string(EXAMPLE_DIR) + "/haulbook.json");
     const std::string marker = "\"operations\": [";
-    for (int i = 0; i < configurationChanges; ++i) {
+    for (int i = 0; i < configurationChangeCount; ++i) {
         const std::string prefix = absl::StrCat("/change-", i);
         std::string text = document;
         text.insert(text.find(marker) + marker.size(),
@@ -375,41 +413,44 @@
                                  prefix,
                                  "\", \"rank\": \"crew\", \"timeout_ms\": 5000, "
                                  "\"repeatable\": true},"));
-        const auto file = all.dataFile(absl::StrCat("change-", i), text);
-        const auto begun = std::chrono::steady_clock::now();
-        child_process apply("persimmonctl", {"apply", file, "--platform-address", all.platform()},
-                            file + ".out");
-        bool inForce = true;
-        for (const auto &instance : all.instances()) {
-            inForce &= awaitTrue([&] {
+        const auto file = testSite.dataFile(absl::StrCat("change-", i), text);
+        const auto start = std::chrono::steady_clock::now();
+        child_process persimmonctl("persimmonctl",
+                                   {"apply", file, "--platform-address", testSite.platform()},
+                                   file + ".out");
+        bool isInForce = true;
+        for (const auto &instance : testSite.instances()) {
+            isInForce &= awaitTrue([&] {
                 return call("PUT", instance->callers(), "/haulbook" + prefix + "/basin", "x").ran();
             });
         }
-        if (inForce) {
-            times.push_back(msSince(begun));
+        if (isInForce) {
+            times.push_back(msSince(start));
         } else {
-            std::cerr << "not in force everywhere: " << apply.output() << "\n";
+            std::cerr << "the new document is not in force at every daemon; persimmonctl printed: "
+                      << persimmonctl.output() << "\n";
         }
     }
     Object line;
-    setSpread(line, times, "ms");
-    line.set("changes", configurationChanges);
-    line.set("bound_ms", configurationBoundMs);
-    line.set("aim_ms", configurationAimMs);
+    setStatistics(line, times, "ms");
+    line.set("changes", configurationChangeCount);
+    line.set("bound_ms", maxConfigurationMs);
+    line.set("aim_ms", configurationObjectiveMs);
     line.set("within",
-             times.size() == configurationChanges
-                 && *std::max_element(times.begin(), times.end()) <= configurationBoundMs);
+             times.size() == configurationChangeCount
+                 && *std::max_element(times.begin(), times.end()) <= maxConfigurationMs);
     print("configuration", line);
 }
 
 } // namespace
 
-// Arguments name the scenarios to run; without any all run.
+// The arguments name the scenarios to run. Without arguments all scenarios run.
 int main(int argc, char **argv)
 {
-    const std::vector<std::string> chosen(argv + 1, argv + argc);
-    const auto runs = [&](const char *scenario) {
-        return chosen.empty() || std::find(chosen.begin(), chosen.end(), scenario) != chosen.end();
+    const std::vector<std::string> selected(argv + 1, argv + argc);
+    const auto isSelected = [&](const char *scenario) {
+        return selected.empty()
+            || std::find(selected.begin(), selected.end(), scenario) != selected.end();
     };
     const std::vector<std::pair<const char *, std::function<void(site &)>>> scenarios = {
         {"imbalance", measureImbalance},
@@ -417,20 +458,24 @@
         {"configuration", measureConfiguration},
         {"churn", measureChurn},
         {"owner-lost",
-         [](site &all) { measureLosses(all, "unavailable-owner-lost", loss_kind::Instance); }},
+         [](site &testSite) {
+             measureFailures(testSite, "unavailable-owner-lost", failure_kind::Instance);
+         }},
         {"daemon-lost",
-         [](site &all) { measureLosses(all, "unavailable-daemon-lost", loss_kind::Daemon); }},
+         [](site &testSite) {
+             measureFailures(testSite, "unavailable-daemon-lost", failure_kind::Daemon);
+         }},
         {"daemon-frozen",
-         [](site &all) {
-             measureLosses(all, "unavailable-daemon-frozen", loss_kind::FrozenDaemon);
+         [](site &testSite) {
+             measureFailures(testSite, "unavailable-daemon-frozen", failure_kind::SuspendedDaemon);
          }},
     };
     try {
-        site all;
-        settledOwners(all, "haulbook");
+        site testSite;
+        awaitStableOwners(testSite, "haulbook");
         for (const auto &[name, measure] : scenarios) {
-            if (runs(name)) {
-                measure(all);
+            if (isSelected(name)) {
+                measure(testSite);
             }
         }
     } catch (const std::exception &error) {
