--- a/src/persimmonrail/base/backoff.cpp
+++ b/src/persimmonrail/base/backoff.cpp
@@ -4,17 +4,17 @@
 
 namespace persimmonrail {
 
-backoff::backoff(milliseconds initial, milliseconds maximum, random_source random)
-    : m_initial(initial)
-    , m_maximum(maximum)
-    , m_current(initial)
+backoff::backoff(milliseconds initialDelay, milliseconds maxDelay, random_source random)
+    : m_initialDelay(initialDelay)
+    , m_maxDelay(maxDelay)
+    , m_currentDelay(initialDelay)
     , m_random(std::move(random))
 { }
 
 milliseconds backoff::next()
 {
-    const auto upper = m_current;
-    m_current = std::min(m_maximum, m_current * 2);
+    const auto upper = m_currentDelay;
+    m_currentDelay = std::min(m_maxDelay, m_currentDelay * 2);
     const auto lower = upper / 2;
     return lower
         + milliseconds(randomBelow(m_random, static_cast<uint64_t>((upper - lower).count()) + 1));
@@ -22,7 +22,7 @@
 
 void backoff::reset()
 {
-    m_current = m_initial;
+    m_currentDelay = m_initialDelay;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/base/backoff.h
+++ b/src/persimmonrail/base/backoff.h
@@ -5,25 +5,27 @@
 
 namespace persimmonrail {
 
-// Delays between repeated attempts: each is drawn from the upper half of an interval that doubles
-// up to a maximum. The jitter keeps callers that failed together from returning together.
+// Exponential backoff with jitter for repeated attempts. The upper bound of the delay starts at the
+// initial delay and doubles with each attempt up to the maximum delay. Each delay is drawn at
+// random from the upper half of the range from 0 to this bound. Without jitter, clients whose
+// attempts fail at the same time would also retry at the same time.
 //
-// Not thread safe; one object serves one request or one thread.
+// Not thread safe; each request or thread uses an object of its own.
 class backoff
 {
 public:
-    // `initial` must be positive and at most `maximum`.
-    backoff(milliseconds initial, milliseconds maximum, random_source random);
+    // `initialDelay` must be positive and at most `maxDelay`.
+    backoff(milliseconds initialDelay, milliseconds maxDelay, random_source random);
 
     // Returns the delay before the next attempt.
     milliseconds next();
-    // Starts again from the initial delay, after a success.
+    // Restores the initial delay; to be called after a successful attempt.
     void reset();
 
 private:
-    milliseconds m_initial;
-    milliseconds m_maximum;
-    milliseconds m_current;
+    milliseconds m_initialDelay;
+    milliseconds m_maxDelay;
+    milliseconds m_currentDelay;
     random_source m_random;
 };
 
--- a/src/persimmonrail/base/clock.h
+++ b/src/persimmonrail/base/clock.h
@@ -4,11 +4,11 @@
 
 namespace persimmonrail {
 
-// Monotonic time, used by every decision. Decisions take it as an argument and never read a clock,
-// so tests can drive them.
+// Monotonic time. Code that decides by time takes the time as an argument instead of reading a
+// clock, so that tests can set the time.
 using steady_time = std::chrono::steady_clock::time_point;
 
-// Wall-clock time. Only the age of idempotency keys depends on it.
+// Wall-clock time. Only decisions on the age of idempotency keys depend on the wall clock.
 using wall_time = std::chrono::system_clock::time_point;
 
 using std::chrono::milliseconds;
--- a/src/persimmonrail/base/key_hash.cpp
+++ b/src/persimmonrail/base/key_hash.cpp
@@ -38,7 +38,8 @@
 uint64_t rendezvousWeight(std::string_view member, std::string_view subject)
 {
     uint64_t state = fnv1a(member, fnvOffsetBasis);
-    // A byte that occurs in no name keeps ("ab", "c") and ("a", "bc") apart.
+    // The separator is a byte that no name contains, so that ("ab", "c") and ("a", "bc") are hashed
+    // differently.
     state = fnv1a(std::string_view("\0", 1), state);
     return finalize(fnv1a(subject, state));
 }
--- a/src/persimmonrail/base/key_hash.h
+++ b/src/persimmonrail/base/key_hash.h
@@ -6,7 +6,7 @@
 
 namespace persimmonrail {
 
-// A set of key hashes, both ends included.
+// A range of key hashes from `first` to `last`, both inclusive.
 struct hash_range
 {
     uint64_t first = 0;
@@ -17,16 +17,16 @@
     bool isSingleKey() const { return first == last; }
 };
 
-// Hashes a key to the 64-bit space that partitions divide: FNV-1a followed by a finalizer that
-// spreads short, similar keys over the whole space. Stored records depend on it, so the function
-// must never change.
+// Returns the 64-bit hash that determines the partition of a key: FNV-1a, followed by a finalizer
+// that spreads short, similar keys over the whole hash space. The function must never change,
+// because stored placement records contain hashes.
 uint64_t keyHash(std::string_view key);
 
-// Weight of `member` for `subject` in rendezvous hashing; the member with the highest one is
-// chosen.
+// Returns the weight of `member` for `subject` in rendezvous hashing, which selects the member with
+// the highest weight.
 uint64_t rendezvousWeight(std::string_view member, std::string_view subject);
 
-// Returns the hash as 16 hexadecimal digits, the form used in logs and headers.
+// Returns the hash as 16 hexadecimal digits, as logs, headers and JSON texts contain it.
 std::string hashToString(uint64_t hash);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/base/random_source.h
+++ b/src/persimmonrail/base/random_source.h
@@ -5,20 +5,21 @@
 
 namespace persimmonrail {
 
-// Returns uniformly distributed 64-bit numbers. A hook, so that tests can fix the seed. Where a
-// class that traffic threads share takes one, it calls it under its own mutex.
+// Returns uniformly distributed 64-bit numbers. Tests pass a generator with a fixed seed. A
+// random_source need not be thread safe: a class that request threads share calls its source while
+// holding the mutex of the class.
 using random_source = std::function<uint64_t()>;
 
-// Returns a number from 0 to `bound` - 1; `bound` must not be 0.
+// Returns a random number from 0 to `bound` - 1. `bound` must not be 0.
 inline uint64_t randomBelow(const random_source &random, uint64_t bound)
 {
     return random() % bound;
 }
 
-// Returns a number in [0, 1).
+// Returns a random number in [0, 1).
 inline double randomFraction(const random_source &random)
 {
-    // A double holds 53 bits exactly.
+    // A double represents 53-bit integers exactly.
     return static_cast<double>(random() >> 11) * 0x1p-53;
 }
 
--- a/src/persimmonrail/base/request_outcome.h
+++ b/src/persimmonrail/base/request_outcome.h
@@ -4,13 +4,13 @@
 
 namespace persimmonrail {
 
-// What is known about a request when the caller gets its answer.
+// Whether a request ran, as the response tells the caller.
 enum class request_outcome {
-    // An upstream answered the request and the answer is whole.
+    // An upstream responded to the request, and the response is complete.
     Run,
-    // No upstream ran the request, and none will.
+    // No upstream has run the request, and none will run the request later.
     NotRun,
-    // The request was handed to an upstream, and no whole answer came back.
+    // The request was dispatched to an upstream, but no complete response arrived.
     Unknown,
 };
 
--- a/src/persimmonrail/base/socket_address.cpp
+++ b/src/persimmonrail/base/socket_address.cpp
@@ -6,7 +6,7 @@
 namespace persimmonrail {
 namespace {
 
-absl::Status malformed(std::string_view text)
+absl::Status malformedAddress(std::string_view text)
 {
     return absl::InvalidArgumentError(
         absl::StrCat("'", std::string(text), "' is not an address of the form ip:port"));
@@ -18,7 +18,7 @@
 {
     const size_t colon = text.rfind(':');
     if (colon == std::string_view::npos) {
-        return malformed(text);
+        return malformedAddress(text);
     }
     std::string host(text.substr(0, colon));
     const std::string portText(text.substr(colon + 1));
@@ -32,7 +32,7 @@
     if (!Poco::Net::IPAddress::tryParse(host, ip) || !isDecimal
         || !absl::SimpleAtoi(portText, &port) || port < 1 || port > 65535
         || isBracketed != (ip.family() == Poco::Net::IPAddress::IPv6)) {
-        return malformed(text);
+        return malformedAddress(text);
     }
     return Poco::Net::SocketAddress(ip, static_cast<Poco::UInt16>(port));
 }
--- a/src/persimmonrail/base/socket_address.h
+++ b/src/persimmonrail/base/socket_address.h
@@ -8,8 +8,8 @@
 
 namespace persimmonrail {
 
-// Parses "ip:port" or "[ipv6]:port" with a port from 1 to 65535. Host names are refused, because a
-// name lookup would make a process depend on another system. Errors: InvalidArgument.
+// Parses "ip:port" or "[ipv6]:port" with a port from 1 to 65535. Host names are rejected, because
+// name resolution would make a process depend on another system. Errors: InvalidArgument.
 absl::StatusOr<Poco::Net::SocketAddress> parseSocketAddress(std::string_view text);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/base/tests/base_test.cpp
+++ b/src/persimmonrail/base/tests/base_test.cpp
@@ -8,7 +8,8 @@
 
 using namespace persimmonrail;
 
-// Guards against a changed hash function: stored partition ranges would then name other keys.
+// Guards against a change of the hash function, after which the stored ranges of partitions would
+// contain other keys.
 TEST_CASE("key hashes are stable", "[base]")
 {
     struct
@@ -26,7 +27,7 @@
     }
 }
 
-// Guards against a hash that puts similar keys into the same partition.
+// Guards against a hash function that places similar keys in the same partition.
 TEST_CASE("sequential keys spread evenly over the hash space", "[base]")
 {
     constexpr int partitions = 16;
@@ -41,7 +42,7 @@
     }
 }
 
-// Guards against weights that ignore one of the two names.
+// Guards against weights that ignore the member or the subject, or the boundary between them.
 TEST_CASE("rendezvous weights depend on member and subject", "[base]")
 {
     CHECK(rendezvousWeight("a", "x") != rendezvousWeight("b", "x"));
@@ -49,7 +50,7 @@
     CHECK(rendezvousWeight("ab", "c") != rendezvousWeight("a", "bc"));
 }
 
-TEST_CASE("an instance is written as name and incarnation", "[base]")
+TEST_CASE("an instance id is formatted as name and incarnation", "[base]")
 {
     CHECK(toString(instance_id{"haulbook-1", 0xabc}) == "haulbook-1/0000000000000abc");
     CHECK(generateIncarnation() != 0);
--- a/src/persimmonrail/base/text.h
+++ b/src/persimmonrail/base/text.h
@@ -6,7 +6,8 @@
 
 namespace persimmonrail {
 
-// Debian builds Abseil with its own string_view, which does not convert from the standard one.
+// Converts a std::string_view. The Abseil packages of Debian define absl::string_view as a type of
+// its own, which does not convert from std::string_view.
 inline absl::string_view toAbsl(std::string_view text)
 {
     return {text.data(), text.size()};
