--- a/src/persimmonrail/cli/command_line.cpp
+++ b/src/persimmonrail/cli/command_line.cpp
@@ -193,7 +193,7 @@
     }
     // Only the platform's address has a variable: a daemon's other variables may be set too.
     flag_values values = parsed.values;
-    if (const auto address = environment.find(variableName(platformFlag));
+    if (const auto address = environment.find(environmentVariableName(platformFlag));
         address != environment.end()) {
         values.emplace(platformFlag, address->second);
     }
--- a/src/persimmonrail/settings/daemon_settings.cpp
+++ b/src/persimmonrail/settings/daemon_settings.cpp
@@ -19,8 +19,9 @@
 namespace persimmonrail {
 namespace {
 
-constexpr int64_t maxConnections = 1'000'000;
-constexpr int64_t maxSkewMs = 600'000;
+// Largest values that the flags accept.
+constexpr int64_t maxConnectionLimit = 1'000'000;
+constexpr int64_t maxClockSkewMs = 600'000;
 constexpr int64_t maxStopTimeoutMs = 3'600'000;
 constexpr std::array<std::string_view, 5> logLevels = {"trace", "debug", "info", "warn", "error"};
 
@@ -30,19 +31,22 @@
         {"instance", "NAME", "name of this daemon, unique in the fleet (required)"},
         {"region", "NAME", "region of the host (required)"},
         {"availability-zone", "NAME", "availability zone of the host (required)"},
-        {"service", "NAME", "service of the upstream beside the daemon; none if it only routes"},
+        {"service", "NAME", "service of the local upstream; none if the daemon only routes"},
         {"caller-address", "IP:PORT", "address for callers (required)"},
         {"peer-address", "IP:PORT", "address for requests of other daemons (required)"},
         {"control-address", "IP:PORT", "address for control messages of other daemons (required)"},
         {"admin-address", "IP:PORT", "address for health, metrics and announcements (required)"},
         {"platform-address", "IP:PORT", "address of the platform's object API (required)"},
-        {"seeds", "IP:PORT,...", "control addresses of peers, for starts without the platform"},
+        {"seeds", "IP:PORT,...",
+         "control addresses of peers to pull state from while the platform is unavailable"},
         {"max-caller-connections", "N",
-         "limit of open caller connections, about 48 KiB each; beyond it, 503 (default 1024)"},
+         "maximum open caller connections, about 48 KiB each; more get 503 (default 1024)"},
         {"log-level", "LEVEL", "trace, debug, info, warn or error (default info)"},
         {"log-file", "PATH", "log file (default: standard error)"},
-        {"clock-skew-allowance-ms", "N", "assumed difference of wall clocks (default 5000)"},
-        {"stop-timeout-ms", "N", "limit of a graceful shutdown (default 30000)"},
+        {"clock-skew-allowance-ms", "N",
+         "maximum assumed difference of wall clocks (default 5000)"},
+        {"stop-timeout-ms", "N",
+         "maximum wait of a graceful shutdown for requests in flight (default 30000)"},
         {"check", "", "validate the settings and exit"},
         {"version", "", "print the version and exit"},
         {"help", "", "print this text and exit"},
@@ -50,91 +54,95 @@
     return flags;
 }
 
-// Converts flag values and collects the faults.
+// Converts flag values to settings and collects one error message per invalid value.
 class settings_reader
 {
 public:
-    settings_reader(const flag_values &values, std::vector<std::string> &faults)
+    settings_reader(const flag_values &values, std::vector<std::string> &errors)
         : m_values(values)
-        , m_faults(faults)
+        , m_errors(errors)
     { }
 
-    std::string name(const std::string &flag, bool isRequired)
+    std::string readName(const std::string &flag, bool isRequired)
     {
-        std::string value = text(flag, isRequired);
+        std::string value = readText(flag, isRequired);
         if (!value.empty() && !isValidName(value)) {
-            fail(flag, "must be 1 to 63 characters out of a-z, 0-9 and '-'");
+            addError(flag, "must be 1 to 63 characters out of a-z, 0-9 and '-'");
         }
         return value;
     }
 
-    std::string address(const std::string &flag)
+    std::string readAddress(const std::string &flag)
     {
-        std::string value = text(flag, true);
+        std::string value = readText(flag, true);
         if (!value.empty()) {
             checkAddress(flag, value);
         }
         return value;
     }
 
-    std::vector<std::string> addresses(const std::string &flag)
+    // Reads a comma-separated list of addresses, which may be empty.
+    std::vector<std::string> readAddresses(const std::string &flag)
     {
-        const std::string value = text(flag, false);
+        const std::string value = readText(flag, false);
         if (value.empty()) {
             return {};
         }
         std::vector<std::string> parts = absl::StrSplit(value, ',');
-        std::set<std::string> seen;
+        std::set<std::string> uniqueParts;
         for (const auto &part : parts) {
             checkAddress(flag, part);
-            if (!seen.insert(part).second) {
-                fail(flag, absl::StrCat("'", part, "' is listed more than once"));
+            if (!uniqueParts.insert(part).second) {
+                addError(flag, absl::StrCat("'", part, "' is listed more than once"));
             }
         }
         return parts;
     }
 
-    int64_t integer(const std::string &flag, int64_t lowest, int64_t highest, int64_t fallback)
+    int64_t readInteger(const std::string &flag, int64_t minValue, int64_t maxValue,
+                        int64_t defaultValue)
     {
         if (!m_values.contains(flag)) {
-            return fallback;
+            return defaultValue;
         }
         int64_t number = 0;
-        if (!absl::SimpleAtoi(text(flag, false), &number) || number < lowest || number > highest) {
-            fail(flag, absl::StrCat("must be an integer from ", lowest, " to ", highest));
+        if (!absl::SimpleAtoi(readText(flag, false), &number) || number < minValue
+            || number > maxValue) {
+            addError(flag, absl::StrCat("must be an integer from ", minValue, " to ", maxValue));
         }
         return number;
     }
 
-    std::string level(const std::string &flag, const std::string &fallback)
+    std::string readLogLevel(const std::string &flag, const std::string &defaultValue)
     {
         if (!m_values.contains(flag)) {
-            return fallback;
+            return defaultValue;
         }
-        std::string value = text(flag, false);
+        std::string value = readText(flag, false);
         if (std::find(logLevels.begin(), logLevels.end(), value) == logLevels.end()) {
-            fail(flag, "must be trace, debug, info, warn or error");
+            addError(flag, "must be trace, debug, info, warn or error");
         }
         return value;
     }
 
-    std::string text(const std::string &flag, bool isRequired)
+    // Returns the value of a flag, or an empty string if the flag is absent.
+    std::string readText(const std::string &flag, bool isRequired)
     {
         const auto found = m_values.find(flag);
         if (found != m_values.end() && !found->second.empty()) {
             return found->second;
         }
         if (found != m_values.end()) {
-            fail(flag, "must not be empty");
+            addError(flag, "must not be empty");
         } else if (isRequired) {
-            fail(flag, "is required");
+            addError(flag, "is required");
         }
         return {};
     }
 
-    void fail(const std::string &flag, const std::string &message)
+    void addError(const std::string &flag, const std::string &message)
     {
-        m_faults.push_back(absl::StrCat("--", flag, ": ", message));
+        m_errors.push_back(absl::StrCat("--", flag, ": ", message));
     }
 
 private:
@@ -142,58 +150,64 @@
     {
         const auto parsed = parseSocketAddress(value);
         if (!parsed.ok()) {
-            fail(flag, std::string(parsed.status().message()));
+            addError(flag, std::string(parsed.status().message()));
         }
     }
 
     const flag_values &m_values;
-    std::vector<std::string> &m_faults;
+    std::vector<std::string> &m_errors;
 };
 
-// Whether two listeners would compete for one port, a wildcard address included.
-bool isConflict(const Poco::Net::SocketAddress &a, const Poco::Net::SocketAddress &b)
+// Returns whether listeners at both addresses would need the same port of the same host. A wildcard
+// address conflicts with every host.
+bool isPortConflict(const Poco::Net::SocketAddress &a, const Poco::Net::SocketAddress &b)
 {
     return a.port() == b.port()
         && (a.host() == b.host() || a.host().isWildcard() || b.host().isWildcard());
 }
 
-struct used_address
+struct configured_address
 {
     const char *flag;
     absl::StatusOr<Poco::Net::SocketAddress> address;
-    // Other processes connect to it, so it must name one host.
-    bool isTarget;
+    // Whether processes connect to this address, which must then not be a wildcard.
+    bool isDestination;
+    // Whether this daemon listens at the address.
     bool isListener;
 };
 
-void checkContradictions(const daemon_settings &settings, settings_reader &reader)
+void checkAddressConflicts(const daemon_settings &settings, settings_reader &reader)
 {
-    const std::vector<used_address> used = {
+    const std::vector<configured_address> addresses = {
         {"caller-address", parseSocketAddress(settings.callerAddress), false, true},
         {"peer-address", parseSocketAddress(settings.peerAddress), true, true},
         {"control-address", parseSocketAddress(settings.controlAddress), true, true},
         {"admin-address", parseSocketAddress(settings.adminAddress), false, true},
         {"platform-address", parseSocketAddress(settings.platformAddress), true, false},
     };
-    for (size_t i = 0; i < used.size(); ++i) {
-        if (!used[i].address.ok()) {
+    for (size_t i = 0; i < addresses.size(); ++i) {
+        if (!addresses[i].address.ok()) {
             continue;
         }
-        if (used[i].isTarget && used[i].address->host().isWildcard()) {
-            reader.fail(used[i].flag, "must not be a wildcard address");
+        if (addresses[i].isDestination && addresses[i].address->host().isWildcard()) {
+            reader.addError(addresses[i].flag, "must not be a wildcard address");
         }
         for (size_t k = 0; k < i; ++k) {
-            // The platform may use the same port on another host.
-            if (used[k].address.ok()
-                && (used[i].isListener ? isConflict(*used[k].address, *used[i].address)
-                                       : *used[k].address == *used[i].address)) {
-                reader.fail(used[i].flag, absl::StrCat("uses the address of --", used[k].flag));
+            // The platform may use the same port on another host, so its address conflicts only if
+            // both the host and the port are equal.
+            if (addresses[k].address.ok()
+                && (addresses[i].isListener
+                        ? isPortConflict(*addresses[k].address, *addresses[i].address)
+                        : *addresses[k].address == *addresses[i].address)) {
+                reader.addError(
+                    addresses[i].flag,
+                    absl::StrCat("conflicts with the address of --", addresses[k].flag));
             }
         }
     }
     for (const auto &seed : settings.seeds) {
         if (seed == settings.controlAddress) {
-            reader.fail("seeds", "lists the daemon's own control address");
+            reader.addError("seeds", "lists the daemon's own control address");
         }
     }
 }
@@ -201,25 +215,25 @@
 daemon_settings readSettings(settings_reader &reader)
 {
     daemon_settings settings;
-    settings.instance = reader.name("instance", true);
-    settings.region = reader.name("region", true);
-    settings.availabilityZone = reader.name("availability-zone", true);
-    settings.service = reader.name("service", false);
-    settings.callerAddress = reader.address("caller-address");
-    settings.peerAddress = reader.address("peer-address");
-    settings.controlAddress = reader.address("control-address");
-    settings.adminAddress = reader.address("admin-address");
-    settings.platformAddress = reader.address("platform-address");
-    settings.seeds = reader.addresses("seeds");
-    settings.maxCallerConnections = static_cast<int>(
-        reader.integer("max-caller-connections", 1, maxConnections, settings.maxCallerConnections));
-    settings.logLevel = reader.level("log-level", settings.logLevel);
-    settings.logFile = reader.text("log-file", false);
-    settings.clockSkewAllowance = milliseconds(reader.integer(
-        "clock-skew-allowance-ms", 0, maxSkewMs, settings.clockSkewAllowance.count()));
+    settings.instance = reader.readName("instance", true);
+    settings.region = reader.readName("region", true);
+    settings.availabilityZone = reader.readName("availability-zone", true);
+    settings.service = reader.readName("service", false);
+    settings.callerAddress = reader.readAddress("caller-address");
+    settings.peerAddress = reader.readAddress("peer-address");
+    settings.controlAddress = reader.readAddress("control-address");
+    settings.adminAddress = reader.readAddress("admin-address");
+    settings.platformAddress = reader.readAddress("platform-address");
+    settings.seeds = reader.readAddresses("seeds");
+    settings.maxCallerConnections = static_cast<int>(reader.readInteger(
+        "max-caller-connections", 1, maxConnectionLimit, settings.maxCallerConnections));
+    settings.logLevel = reader.readLogLevel("log-level", settings.logLevel);
+    settings.logFile = reader.readText("log-file", false);
+    settings.clockSkewAllowance = milliseconds(reader.readInteger(
+        "clock-skew-allowance-ms", 0, maxClockSkewMs, settings.clockSkewAllowance.count()));
     settings.stopTimeout = milliseconds(
-        reader.integer("stop-timeout-ms", 0, maxStopTimeoutMs, settings.stopTimeout.count()));
-    checkContradictions(settings, reader);
+        reader.readInteger("stop-timeout-ms", 0, maxStopTimeoutMs, settings.stopTimeout.count()));
+    checkAddressConflicts(settings, reader);
     return settings;
 }
 
@@ -228,7 +242,7 @@
 absl::StatusOr<parsed_settings> parseDaemonSettings(const std::vector<std::string> &arguments,
                                                     const environment_map &environment)
 {
-    std::vector<std::string> faults;
+    std::vector<std::string> errors;
     const auto parsed = parseFlags(daemonFlags(), arguments, environment);
     parsed_settings result;
     if (parsed.values.contains("help")) {
@@ -239,17 +253,17 @@
         result.action = daemon_action::ShowVersion;
         return result;
     }
-    faults = parsed.faults;
+    errors = parsed.faults;
     for (const auto &operand : parsed.operands) {
-        faults.push_back(absl::StrCat("unexpected argument '", operand, "'"));
+        errors.push_back(absl::StrCat("unexpected argument '", operand, "'"));
     }
-    settings_reader reader(parsed.values, faults);
+    settings_reader reader(parsed.values, errors);
     result.settings = readSettings(reader);
     if (parsed.values.contains("check")) {
         result.action = daemon_action::Check;
     }
-    if (!faults.empty()) {
-        return absl::InvalidArgumentError(absl::StrJoin(faults, "\n"));
+    if (!errors.empty()) {
+        return absl::InvalidArgumentError(absl::StrJoin(errors, "\n"));
     }
     return result;
 }
--- a/src/persimmonrail/settings/daemon_settings.h
+++ b/src/persimmonrail/settings/daemon_settings.h
@@ -13,36 +13,42 @@
 // Settings of one daemon. Addresses are "ip:port".
 struct daemon_settings
 {
+    // Name of the daemon, unique in the fleet.
     std::string instance;
     std::string region;
     std::string availabilityZone;
-    // Service of the upstream beside the daemon; empty if the daemon only routes.
+    // Service of the local upstream; empty if the daemon has no upstream and only routes.
     std::string service;
-    // Serves callers.
+    // Listens for requests of callers.
     std::string callerAddress;
-    // Serves requests forwarded by other daemons.
+    // Listens for requests that other daemons forward.
     std::string peerAddress;
-    // Serves control messages of other daemons.
+    // Listens for control messages of other daemons.
     std::string controlAddress;
-    // Serves health, metrics, explanations and announcements of the upstream.
+    // Listens for requests for health, metrics and routing explanations, and for announcements of
+    // the local upstream.
     std::string adminAddress;
+    // Address of the platform's object API.
     std::string platformAddress;
-    // Control addresses of peers that a daemon asks for state while the platform is unavailable.
+    // Control addresses of peers from which the daemon pulls state while the platform is
+    // unavailable.
     std::vector<std::string> seeds;
-    // Each connection has a thread and takes 43 to 48 KiB of resident memory while it is idle, so
-    // this many stay within 64 MB.
+    // An idle connection has a thread and takes 43 to 48 KiB of resident memory, so 1024 of them
+    // stay within 64 MB.
     int maxCallerConnections = 1024;
-    // One of trace, debug, info, warn and error.
+    // One of "trace", "debug", "info", "warn" and "error".
     std::string logLevel = "info";
-    // Empty for standard error.
+    // Path of the log file; empty for standard error.
     std::string logFile;
-    // Largest difference assumed between the wall clocks of a caller and of an owner.
+    // Maximum difference that is assumed between the wall clocks of a caller and an owner.
     milliseconds clockSkewAllowance{5'000};
-    // Time after which a graceful shutdown stops waiting for requests in flight.
+    // Bounds the wait of a graceful shutdown for requests in flight.
     milliseconds stopTimeout{30'000};
 };
 
+// What persimmonraild does after its settings are parsed.
 enum class daemon_action {
+    // Start the daemon.
     Run,
     // Validate the settings and exit.
     Check,
@@ -53,26 +59,29 @@
 struct parsed_settings
 {
     daemon_action action = daemon_action::Run;
-    // Complete for Run and Check only.
+    // Filled in for Run and Check only.
     daemon_settings settings;
 };
 
-// Environment variables by name.
+// Values of environment variables by name.
 using environment_map = std::map<std::string, std::string>;
 
-// Parses the arguments after the program's name. Each flag "--some-flag" falls back to the
-// environment variable PERSIMMONRAIL_SOME_FLAG; the flag takes precedence. --check, --version and
-// --help have no variable. Errors: InvalidArgument with one line per fault, each of which names the
-// flag or the variable; the program then exits with code 2.
+// Parses the command line and the environment. `arguments` excludes the program name. A flag
+// "--some-flag" that is absent takes the value of the environment variable
+// PERSIMMONRAIL_SOME_FLAG; --check, --version and --help have no variable. Errors: InvalidArgument
+// with one line per invalid setting, each of which names the flag or the variable. The program then
+// exits with code 2.
 //
-// Not thread safe, since getopt_long keeps static state.
+// Not thread safe, because getopt_long keeps static state.
 absl::StatusOr<parsed_settings> parseDaemonSettings(const std::vector<std::string> &arguments,
                                                     const environment_map &environment);
 
-// Converts the environment of a process, as passed to main, to a map.
+// Converts `variables`, a null-terminated array of "NAME=value" such as environ, to a map. Entries
+// without '=' are skipped.
 environment_map environmentFrom(const char *const *variables);
 
-// Returns the help text: one line per flag with its default.
+// Returns the help text of persimmonraild with one line per flag, which states the default value if
+// there is one.
 std::string daemonHelp();
 
 } // namespace persimmonrail
--- a/src/persimmonrail/settings/flag_parser.cpp
+++ b/src/persimmonrail/settings/flag_parser.cpp
@@ -13,48 +13,50 @@
 constexpr char variablePrefix[] = "PERSIMMONRAIL_";
 constexpr size_t helpColumn = 38;
 
-std::vector<option> makeOptions(const std::vector<flag_description> &flags)
+std::vector<option> makeGetoptOptions(const std::vector<flag_description> &flags)
 {
     std::vector<option> options;
     for (size_t i = 0; i < flags.size(); ++i) {
         const int argument = flags[i].value.empty() ? no_argument : required_argument;
-        // Values above 255 keep flags apart from the characters that getopt_long returns.
+        // Values from 256 cannot be confused with the characters that getopt_long returns.
         options.push_back({flags[i].name.c_str(), argument, nullptr, static_cast<int>(256 + i)});
     }
     options.push_back({nullptr, 0, nullptr, 0});
     return options;
 }
 
-// getopt_long accepts unambiguous abbreviations. They are refused, because a later release may add
-// a flag that changes their meaning.
+// Returns whether getopt_long accepted an unambiguous abbreviation of a flag. Abbreviations are
+// rejected, because a flag that a later release adds may change their meaning.
 bool isAbbreviated(const std::string &argument, const std::string &name)
 {
     return argument.substr(0, argument.find('=')) != "--" + name;
 }
 
-std::string describeFault(int code, const std::string &argument)
+// `code` is the result of getopt_long for a flag that it rejected.
+std::string describeParseError(int code, const std::string &argument)
 {
-    return code == ':' ? absl::StrCat(argument, ": needs a value")
+    return code == ':' ? absl::StrCat(argument, ": requires a value")
                        : absl::StrCat(argument, ": unknown flag or unexpected value");
 }
 
-void readArguments(const std::vector<flag_description> &flags,
-                   const std::vector<std::string> &arguments, parsed_flags &parsed)
+void parseArguments(const std::vector<flag_description> &flags,
+                    const std::vector<std::string> &arguments, parsed_flags &parsed)
 {
-    std::vector<std::string> texts = {"program"};
-    texts.insert(texts.end(), arguments.begin(), arguments.end());
+    std::vector<std::string> argumentStrings = {"program"};
+    argumentStrings.insert(argumentStrings.end(), arguments.begin(), arguments.end());
     std::vector<char *> argv;
-    argv.reserve(texts.size() + 1);
-    for (auto &text : texts) {
-        argv.push_back(text.data());
+    argv.reserve(argumentStrings.size() + 1);
+    for (auto &argumentString : argumentStrings) {
+        argv.push_back(argumentString.data());
     }
     argv.push_back(nullptr);
-    const auto options = makeOptions(flags);
-    const int count = static_cast<int>(texts.size());
-    // The value 0 makes getopt_long of the GNU C library start anew.
+    const auto options = makeGetoptOptions(flags);
+    const int count = static_cast<int>(argumentStrings.size());
+    // With the GNU C library, 0 makes getopt_long reset its state from the previous parse.
     optind = 0;
     opterr = 0;
-    // The leading '-' returns operands in place as code 1, so that argv keeps its order.
+    // The leading '-' makes getopt_long return each operand as code 1 instead of moving operands to
+    // the end of argv. The ':' makes getopt_long return ':' for a missing value.
     for (;;) {
         const int position = std::max(optind, 1);
         const int code = getopt_long(count, argv.data(), "-:", options.data(), nullptr);
@@ -67,7 +69,7 @@
         }
         const std::string argument = argv[static_cast<size_t>(position)];
         if (code < 256) {
-            parsed.faults.push_back(describeFault(code, argument));
+            parsed.faults.push_back(describeParseError(code, argument));
             continue;
         }
         const auto &flag = flags[static_cast<size_t>(code - 256)];
@@ -82,22 +84,24 @@
     }
 }
 
-void readEnvironment(const std::vector<flag_description> &flags, const environment_map &environment,
-                     parsed_flags &parsed)
+// Adds the values of environment variables for absent flags and reports unknown variables that have
+// the prefix.
+void applyEnvironment(const std::vector<flag_description> &flags,
+                      const environment_map &environment, parsed_flags &parsed)
 {
-    std::set<std::string> known;
+    std::set<std::string> knownVariables;
     for (const auto &flag : flags) {
         if (flag.value.empty()) {
             continue;
         }
-        const std::string variable = variableName(flag.name);
-        known.insert(variable);
+        const std::string variable = environmentVariableName(flag.name);
+        knownVariables.insert(variable);
         if (const auto found = environment.find(variable); found != environment.end()) {
             parsed.values.emplace(flag.name, found->second);
         }
     }
     for (const auto &[variable, value] : environment) {
-        if (variable.starts_with(variablePrefix) && !known.contains(variable)) {
+        if (variable.starts_with(variablePrefix) && !knownVariables.contains(variable)) {
             parsed.faults.push_back(absl::StrCat(variable, ": unknown environment variable"));
         }
     }
@@ -105,7 +109,7 @@
 
 } // namespace
 
-std::string variableName(const std::string &flag)
+std::string environmentVariableName(const std::string &flag)
 {
     std::string name = absl::AsciiStrToUpper(flag);
     std::replace(name.begin(), name.end(), '-', '_');
@@ -117,8 +121,8 @@
                         const environment_map &environment)
 {
     parsed_flags parsed;
-    readArguments(flags, arguments, parsed);
-    readEnvironment(flags, environment, parsed);
+    parseArguments(flags, arguments, parsed);
+    applyEnvironment(flags, environment, parsed);
     return parsed;
 }
 
--- a/src/persimmonrail/settings/tests/daemon_settings_test.cpp
+++ b/src/persimmonrail/settings/tests/daemon_settings_test.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-const std::vector<std::string> complete = {
+const std::vector<std::string> completeArguments = {
     "--instance=haulbook-1",           "--region=bavaria",
     "--availability-zone=bayern-nord", "--caller-address=127.0.0.1:8001",
     "--peer-address=127.0.0.1:8002",   "--control-address=127.0.0.1:8003",
     "--admin-address=127.0.0.1:8004",  "--platform-address=127.0.0.1:8000",
 };
 
-// Replaces the argument of the same flag, or adds it.
-std::vector<std::string> with(const std::string &argument)
+// Returns completeArguments with the argument of the same flag replaced, or with `argument` added.
+std::vector<std::string> withArgument(const std::string &argument)
 {
-    auto arguments = complete;
+    auto arguments = completeArguments;
     const std::string flag = argument.substr(0, argument.find('=') + 1);
     for (auto &existing : arguments) {
         if (!flag.empty() && existing.starts_with(flag)) {
@@ -28,7 +28,8 @@
     return arguments;
 }
 
-std::string faultOf(const std::vector<std::string> &arguments,
+// Returns the error message of the parser; empty if the settings are valid.
+std::string errorOf(const std::vector<std::string> &arguments,
                     const environment_map &environment = {})
 {
     const auto parsed = parseDaemonSettings(arguments, environment);
@@ -37,9 +38,9 @@
 
 } // namespace
 
-TEST_CASE("complete settings are read", "[settings]")
+TEST_CASE("complete settings are parsed", "[settings]")
 {
-    auto arguments = complete;
+    auto arguments = completeArguments;
     arguments.insert(arguments.end(),
                      {"--service", "haulbook", "--seeds", "10.0.0.1:1,[::1]:2", "--check",
                       "--stop-timeout-ms=7", "--log-level=warn"});
@@ -58,21 +59,22 @@
 {
     const environment_map environment = {
         {"PERSIMMONRAIL_REGION", "pomorze"}, {"PERSIMMONRAIL_SERVICE", "ledger"}, {"PATH", "/bin"}};
-    const auto parsed = parseDaemonSettings(complete, environment);
+    const auto parsed = parseDaemonSettings(completeArguments, environment);
     REQUIRE(parsed.ok());
     CHECK(parsed->settings.region == "bavaria");
     CHECK(parsed->settings.service == "ledger");
     CHECK(parsed->action == daemon_action::Run);
 }
 
-// Guards against refusing a platform on another host that happens to use the same port.
+// Guards against rejecting a platform that uses the same port on another host.
 TEST_CASE("a wildcard listener may share its port number with the platform", "[settings]")
 {
-    CHECK(parseDaemonSettings(with("--caller-address=0.0.0.0:8000"), {}).ok());
+    CHECK(parseDaemonSettings(withArgument("--caller-address=0.0.0.0:8000"), {}).ok());
 }
 
-// Guards against a daemon that starts with a setting other than the one the operator meant.
-TEST_CASE("a faulty setting is refused by the name of its flag", "[settings]")
+// Guards against a daemon that starts although a setting is invalid, and then uses a value that the
+// operator did not intend.
+TEST_CASE("an invalid setting is rejected with an error that names the flag", "[settings]")
 {
     const auto [argument, flag] = GENERATE(table<std::string, std::string>({
         {"--instance=Haulbook", "--instance"},
@@ -103,34 +105,34 @@
         {"surplus", "surplus"},
     }));
     CAPTURE(argument);
-    const std::string fault = faultOf(with(argument));
-    CAPTURE(fault);
-    CHECK(fault.find(flag) != std::string::npos);
-    CHECK(fault.find('\n') == std::string::npos);
+    const std::string error = errorOf(withArgument(argument));
+    CAPTURE(error);
+    CHECK(error.find(flag) != std::string::npos);
+    CHECK(error.find('\n') == std::string::npos);
 }
 
-TEST_CASE("unknown variables and repeated flags are refused", "[settings]")
+TEST_CASE("unknown environment variables and repeated flags are rejected", "[settings]")
 {
-    CHECK(faultOf(complete, {{"PERSIMMONRAIL_REGOIN", "a"}}).find("PERSIMMONRAIL_REGOIN")
+    CHECK(errorOf(completeArguments, {{"PERSIMMONRAIL_REGOIN", "a"}}).find("PERSIMMONRAIL_REGOIN")
           != std::string::npos);
-    auto arguments = complete;
+    auto arguments = completeArguments;
     arguments.emplace_back("--region=other");
-    CHECK(faultOf(arguments).find("--region") != std::string::npos);
-    CHECK(faultOf(complete, {{"PERSIMMONRAIL_LOG_LEVEL", "loud"}}).find("--log-level")
+    CHECK(errorOf(arguments).find("--region") != std::string::npos);
+    CHECK(errorOf(completeArguments, {{"PERSIMMONRAIL_LOG_LEVEL", "loud"}}).find("--log-level")
           != std::string::npos);
 }
 
-TEST_CASE("all missing settings are named at once", "[settings]")
+TEST_CASE("all missing settings are reported together", "[settings]")
 {
-    const std::string fault = faultOf({});
-    for (const auto &argument : complete) {
+    const std::string error = errorOf({});
+    for (const auto &argument : completeArguments) {
         const std::string flag = argument.substr(0, argument.find('='));
         CAPTURE(flag);
-        CHECK(fault.find(flag + ": is required") != std::string::npos);
+        CHECK(error.find(flag + ": is required") != std::string::npos);
     }
 }
 
-TEST_CASE("version and help need no other setting", "[settings]")
+TEST_CASE("version and help require no other setting", "[settings]")
 {
     CHECK(parseDaemonSettings({"--help"}, {})->action == daemon_action::ShowHelp);
     CHECK(parseDaemonSettings({"--version"}, {})->action == daemon_action::ShowVersion);
