--- a/src/persimmonrail/cli/command_line.cpp
+++ b/src/persimmonrail/cli/command_line.cpp
@@ -25,9 +25,9 @@
 const std::vector<flag_description> &cliFlags()
 {
     static const std::vector<flag_description> flags = {
-        {platformFlag, "IP:PORT", "platform; or PERSIMMONRAIL_PLATFORM_ADDRESS"},
+        {platformFlag, "IP:PORT", "address of the platform; or PERSIMMONRAIL_PLATFORM_ADDRESS"},
         {expectFlag, "N", "apply: version that the stored document must have"},
-        {waitFlag, "N", "apply: time limit for the verdict (default 30000)"},
+        {waitFlag, "N", "apply: time limit of the command in milliseconds (default 30000)"},
         {daemonFlag, "IP:PORT", "explain: admin address of a daemon"},
         {"version", "", "print the version and exit"},
         {"help", "", "print this text and exit"},
@@ -38,25 +38,28 @@
 constexpr char commandHelp[] =
     "Usage: persimmonctl COMMAND [ARGUMENT]... [FLAG]...\n\n"
     "  validate FILE           check a service document\n"
-    "  apply FILE              store a service document and wait for the verdict\n"
+    "  apply FILE              store a service document and wait until it is accepted or rejected\n"
     "  show SERVICE            print the document, the accepted version and the status\n"
-    "  status [SERVICE]        print the status of one service or of all\n"
+    "  status [SERVICE]        print the status of one service or of all services\n"
     "  explain SERVICE KEY     print how a daemon routes a key; needs --daemon\n"
     "  members                 print the members of the fleet\n\n";
 
+// One command of persimmonctl with the operands and flags that the command accepts.
 struct command_description
 {
     size_t minOperands;
     size_t maxOperands;
     bool usesPlatform;
+    // Names of the flags that the command accepts.
     std::set<std::string> flags;
-    // Operands follow the name of the command.
+    // `operands` are the arguments after the command name that are not flags.
     std::function<cli_exit(const cli_session &, const std::vector<std::string> &operands,
                            const flag_values &)>
         run;
 };
 
-std::optional<uint64_t> readNumber(const flag_values &values, const std::string &flag)
+// Returns the value of a flag, or nullopt if the flag is absent or its value is not a number.
+std::optional<uint64_t> readNumberFlag(const flag_values &values, const std::string &flag)
 {
     const auto found = values.find(flag);
     uint64_t number = 0;
@@ -67,9 +70,9 @@
 cli_exit runApply(const cli_session &session, const std::vector<std::string> &operands,
                   const flag_values &values)
 {
-    const auto wait = readNumber(values, waitFlag).value_or(defaultWaitMs);
-    return applyDocument(session,
-                         {operands[0], readNumber(values, expectFlag), milliseconds(wait)});
+    const auto timeoutMs = readNumberFlag(values, waitFlag).value_or(defaultWaitMs);
+    return applyDocument(
+        session, {operands[0], readNumberFlag(values, expectFlag), milliseconds(timeoutMs)});
 }
 
 const std::map<std::string, command_description> &commands()
@@ -121,14 +124,15 @@
     return table;
 }
 
-// Returns what is wrong with the flags of a command.
-std::vector<std::string> checkFlags(const command_description &command, const flag_values &given,
-                                    const flag_values &values)
+// Returns one error message per flag that is invalid for the command. `commandLineValues` holds the
+// flags of the command line; `values` also holds the values from the environment.
+std::vector<std::string> checkFlags(const command_description &command,
+                                    const flag_values &commandLineValues, const flag_values &values)
 {
-    std::vector<std::string> faults;
-    for (const auto &[flag, value] : given) {
+    std::vector<std::string> errors;
+    for (const auto &[flag, value] : commandLineValues) {
         if (!command.flags.contains(flag)) {
-            faults.push_back(absl::StrCat("--", flag, ": does not apply to this command"));
+            errors.push_back(absl::StrCat("--", flag, ": does not apply to this command"));
         }
     }
     for (const char *flag : {platformFlag, daemonFlag}) {
@@ -138,25 +142,26 @@
         const auto found = values.find(flag);
         const auto address = parseSocketAddress(found == values.end() ? "" : found->second);
         if (found == values.end()) {
-            faults.push_back(absl::StrCat("--", flag, ": is required"));
+            errors.push_back(absl::StrCat("--", flag, ": is required"));
         } else if (!address.ok()) {
-            faults.push_back(
+            errors.push_back(
                 absl::StrCat("--", flag, ": ", std::string(address.status().message())));
         }
     }
     for (const char *flag : {expectFlag, waitFlag}) {
-        const auto number = readNumber(values, flag);
+        const auto number = readNumberFlag(values, flag);
         if (values.contains(flag) && (!number || (flag == waitFlag && *number > maxWaitMs))) {
-            faults.push_back(absl::StrCat("--", flag, ": must be a number in range"));
+            errors.push_back(absl::StrCat(
+                "--", flag, ": must be a non-negative integer in the range of this flag"));
         }
     }
-    return faults;
+    return errors;
 }
 
-cli_exit usage(std::ostream &err, const std::vector<std::string> &faults)
+cli_exit reportUsageErrors(std::ostream &err, const std::vector<std::string> &errors)
 {
-    for (const auto &fault : faults) {
-        err << "persimmonctl: " << fault << "\n";
+    for (const auto &error : errors) {
+        err << "persimmonctl: " << error << "\n";
     }
     err << "persimmonctl: see --help\n";
     return cli_exit::Usage;
@@ -178,31 +183,33 @@
         return cli_exit::Ok;
     }
     if (!parsed.faults.empty() || parsed.operands.empty()) {
-        return usage(err,
-                     parsed.faults.empty() ? std::vector<std::string>{"command is missing"}
-                                           : parsed.faults);
+        return reportUsageErrors(
+            err,
+            parsed.faults.empty() ? std::vector<std::string>{"command is missing"} : parsed.faults);
     }
     const auto found = commands().find(parsed.operands[0]);
     if (found == commands().end()) {
-        return usage(err, {absl::StrCat("unknown command '", parsed.operands[0], "'")});
+        return reportUsageErrors(err, {absl::StrCat("unknown command '", parsed.operands[0], "'")});
     }
     const auto &command = found->second;
     const std::vector<std::string> operands(parsed.operands.begin() + 1, parsed.operands.end());
     if (operands.size() < command.minOperands || operands.size() > command.maxOperands) {
-        return usage(err, {absl::StrCat(found->first, ": wrong number of arguments")});
+        return reportUsageErrors(err, {absl::StrCat(found->first, ": wrong number of arguments")});
     }
-    // Only the platform's address has a variable: a daemon's other variables may be set too.
+    // parseFlags() would report the variables of a daemon's flags, which may be set in the same
+    // environment, as unknown. Therefore only the platform's address is read from the environment.
     flag_values values = parsed.values;
     if (const auto address = environment.find(environmentVariableName(platformFlag));
         address != environment.end()) {
         values.emplace(platformFlag, address->second);
     }
-    if (const auto faults = checkFlags(command, parsed.values, values); !faults.empty()) {
-        return usage(err, faults);
+    if (const auto errors = checkFlags(command, parsed.values, values); !errors.empty()) {
+        return reportUsageErrors(err, errors);
     }
-    const bool takesService = found->first == "show" || found->first == "status";
-    if (takesService && !operands.empty() && !isValidName(operands[0])) {
-        return usage(err, {absl::StrCat("'", operands[0], "' is not the name of a service")});
+    const bool takesServiceName = found->first == "show" || found->first == "status";
+    if (takesServiceName && !operands.empty() && !isValidName(operands[0])) {
+        return reportUsageErrors(err,
+                                 {absl::StrCat("'", operands[0], "' is not a valid service name")});
     }
     cli_session session{hooks, {}, out, err};
     if (command.usesPlatform) {
--- a/src/persimmonrail/cli/command_line.h
+++ b/src/persimmonrail/cli/command_line.h
@@ -13,27 +13,32 @@
 
 namespace persimmonrail {
 
-// Everything that the operator command line reaches outside itself.
+// Access of persimmonctl to the network, files and the clock, which tests replace.
 struct cli_hooks
 {
+    // Returns a client of the platform's object API at "ip:port".
     std::function<object_api(const std::string &platformAddress)> connect;
-    // Returns the body of the answer to GET `pathAndQuery` at "ip:port".
+    // Returns the body of the response to GET `pathAndQuery` at "ip:port". Any status other than
+    // 200 is an error.
     std::function<absl::StatusOr<std::string>(const std::string &address,
                                               const std::string &pathAndQuery)>
         httpGet;
+    // Returns the content of a file, cut off one byte past maxDocumentBytes.
     std::function<absl::StatusOr<std::string>(const std::string &path)> readFile;
     std::function<steady_time()> now;
-    std::function<void(milliseconds)> pause;
+    std::function<void(milliseconds)> sleepFor;
 };
 
-// Returns the hooks of the real program: HTTP, files and the system's clock.
+// Returns hooks that use HTTP, the file system and the system clock.
 cli_hooks makeCliHooks();
 
-// Exit codes of the operator command line.
+// Exit codes of persimmonctl.
 enum class cli_exit { Ok = 0, Failed = 1, Usage = 2 };
 
-// Runs one command. `arguments` are those after the program's name. Results go to `out`, messages
-// to `err`. Not thread safe, since getopt_long keeps static state.
+// Runs one command of persimmonctl and returns its exit code. `arguments` excludes the program
+// name. Results are written to `out`, error messages to `err`.
+//
+// Not thread safe, because getopt_long keeps static state.
 cli_exit runCommandLine(const std::vector<std::string> &arguments,
                         const environment_map &environment, const cli_hooks &hooks,
                         std::ostream &out, std::ostream &err);
--- a/src/persimmonrail/cli/json_lines.cpp
+++ b/src/persimmonrail/cli/json_flattening.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/cli/json_lines.h"
+#include "persimmonrail/cli/json_flattening.h"
 
 #include <Poco/JSON/Array.h>
 #include <Poco/JSON/Object.h>
@@ -12,48 +12,49 @@
 using Poco::Dynamic::Var;
 using Poco::JSON::Array;
 using Poco::JSON::Object;
-using json_lines = std::vector<std::pair<std::string, std::string>>;
+using flattened_json = std::vector<std::pair<std::string, std::string>>;
 
-// Answers of the programs nest a few levels only.
+// Limits recursion; the flattened objects and responses nest only a few levels.
 constexpr size_t maxDepth = 32;
 
-// Control characters in a stored value must not reach the operator's terminal.
-std::string printable(const std::string &text)
+// Escapes control characters as \xNN, because the operator's terminal would interpret them.
+std::string escapeControlCharacters(const std::string &text)
 {
-    std::string safe;
+    std::string escaped;
     for (const char c : text) {
         if (static_cast<unsigned char>(c) < ' ' || c == 0x7f) {
-            absl::StrAppend(&safe, "\\x",
+            absl::StrAppend(&escaped, "\\x",
                             absl::Hex(static_cast<unsigned char>(c), absl::kZeroPad2));
         } else {
-            safe.push_back(c);
+            escaped.push_back(c);
         }
     }
-    return safe;
+    return escaped;
 }
 
-void append(const std::string &path, const Var &value, json_lines &lines)
+void appendFlattened(const std::string &path, const Var &value, flattened_json &fields)
 {
     if (value.type() == typeid(Object::Ptr)) {
         const auto &object = value.extract<Object::Ptr>();
         for (const auto &name : object->getNames()) {
-            const std::string field = printable(name);
-            append(path.empty() ? field : absl::StrCat(path, ".", field), object->get(name), lines);
+            const std::string field = escapeControlCharacters(name);
+            appendFlattened(path.empty() ? field : absl::StrCat(path, ".", field),
+                            object->get(name), fields);
         }
     } else if (value.type() == typeid(Array::Ptr)) {
         const auto &array = value.extract<Array::Ptr>();
         for (unsigned i = 0; i < array->size(); ++i) {
-            append(absl::StrCat(path, "[", i, "]"), array->get(i), lines);
+            appendFlattened(absl::StrCat(path, "[", i, "]"), array->get(i), fields);
         }
     } else {
-        lines.emplace_back(path,
-                           value.isEmpty() ? "null" : printable(value.convert<std::string>()));
+        fields.emplace_back(
+            path, value.isEmpty() ? "null" : escapeControlCharacters(value.convert<std::string>()));
     }
 }
 
 } // namespace
 
-absl::StatusOr<json_lines> flattenJson(std::string_view json)
+absl::StatusOr<flattened_json> flattenJson(std::string_view json)
 {
     try {
         Poco::JSON::Parser parser;
@@ -62,9 +63,9 @@
         if (value.type() != typeid(Object::Ptr)) {
             return absl::InvalidArgumentError("not a JSON object");
         }
-        json_lines lines;
-        append("", value, lines);
-        return lines;
+        flattened_json fields;
+        appendFlattened("", value, fields);
+        return fields;
     } catch (const Poco::Exception &error) {
         return absl::InvalidArgumentError(absl::StrCat("not valid JSON: ", error.displayText()));
     }
--- a/src/persimmonrail/cli/json_lines.h
+++ b/src/persimmonrail/cli/json_flattening.h
@@ -10,7 +10,8 @@
 namespace persimmonrail {
 
 // Flattens a JSON object to pairs of path and value, such as {"witnesses[0].name", "ledger-1"}.
-// Texts are given without quotes and with control characters escaped. Errors: InvalidArgument.
+// String values are not quoted; control characters in names and values are escaped as \xNN.
+// Errors: InvalidArgument if the text is not a JSON object.
 absl::StatusOr<std::vector<std::pair<std::string, std::string>>> flattenJson(std::string_view json);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/cli/read_commands.cpp
+++ b/src/persimmonrail/cli/read_commands.cpp
@@ -1,6 +1,6 @@
 #include "persimmonrail/cli/read_commands.h"
 
-#include "persimmonrail/cli/json_lines.h"
+#include "persimmonrail/cli/json_flattening.h"
 #include "persimmonrail/document/document_acceptance.h"
 
 #include <Poco/DateTimeFormat.h>
@@ -14,9 +14,9 @@
 namespace persimmonrail {
 namespace {
 
-constexpr char configDirectory[] = "config/";
-constexpr char statusDirectory[] = "status/";
-constexpr char memberDirectory[] = "member/";
+constexpr char configPrefix[] = "config/";
+constexpr char statusPrefix[] = "status/";
+constexpr char memberPrefix[] = "member/";
 
 std::string formatTime(wall_time time)
 {
@@ -26,26 +26,28 @@
                                            Poco::DateTimeFormat::ISO8601_FORMAT);
 }
 
-std::string encodeParameter(const std::string &text)
+std::string encodeQueryParameter(const std::string &text)
 {
     std::string encoded;
     Poco::URI::encode(text, "?#%&+=;:@!$'()*,[]/", encoded);
     return encoded;
 }
 
-// What the platform stores about one service; versions are 0 if there is no such object.
+// Document version and status of one service, as the platform stores them.
 struct service_state
 {
+    // 0 if no document is stored.
     uint64_t configVersion = 0;
-    // Empty if there is no status.
+    // Encoded document_status; empty if none is stored.
     std::string status;
 };
 
-// Returns whether the status is readable.
+// Prints the status of a service. Returns false if the stored status cannot be decoded.
 bool printStatus(const cli_session &session, const std::string &service, const service_state &state)
 {
     if (state.status.empty()) {
-        session.out << service << ": version " << state.configVersion << " awaits a verdict\n";
+        session.out << service << ": version " << state.configVersion
+                    << " is neither accepted nor rejected yet\n";
         return true;
     }
     const auto status = decodeStatus(state.status);
@@ -57,25 +59,27 @@
                 << toString(status->state) << " " << formatTime(status->decidedAt) << "\n"
                 << renderErrors(status->errors);
     if (state.configVersion > status->sourceVersion) {
-        session.out << service << ": version " << state.configVersion << " awaits a verdict\n";
+        session.out << service << ": version " << state.configVersion
+                    << " is neither accepted nor rejected yet\n";
     }
     return true;
 }
 
-absl::StatusOr<std::map<std::string, service_state>> readStates(const object_api &platform,
-                                                                const std::string &service)
+// Returns the states of all services whose names start with `service`, by name.
+absl::StatusOr<std::map<std::string, service_state>> readServiceStates(const object_api &platform,
+                                                                       const std::string &service)
 {
     std::map<std::string, service_state> states;
-    const auto configs = platform.list(configDirectory + service);
-    const auto statuses = platform.list(statusDirectory + service);
+    const auto configs = platform.list(configPrefix + service);
+    const auto statuses = platform.list(statusPrefix + service);
     if (!configs.ok() || !statuses.ok()) {
         return configs.ok() ? statuses.status() : configs.status();
     }
     for (const auto &object : configs->objects) {
-        states[object.key.substr(sizeof configDirectory - 1)].configVersion = object.version;
+        states[object.key.substr(sizeof configPrefix - 1)].configVersion = object.version;
     }
     for (const auto &object : statuses->objects) {
-        states[object.key.substr(sizeof statusDirectory - 1)].status = object.value;
+        states[object.key.substr(sizeof statusPrefix - 1)].status = object.value;
     }
     return states;
 }
@@ -143,37 +147,37 @@
 
 cli_exit showStatus(const cli_session &session, const std::string &service)
 {
-    const auto states = readStates(session.platform, service);
+    const auto states = readServiceStates(session.platform, service);
     if (!states.ok()) {
         return session.fail(states.status());
     }
     if (!service.empty() && !states->contains(service)) {
         return session.fail(absl::StrCat("no document is stored for ", service));
     }
-    bool isReadable = true;
+    bool areAllDecoded = true;
     for (const auto &[name, state] : *states) {
-        // The prefix also covers services whose names continue this one.
+        // The listing also contains services whose names start with this one.
         if (service.empty() || name == service) {
-            isReadable = printStatus(session, name, state) && isReadable;
+            areAllDecoded = printStatus(session, name, state) && areAllDecoded;
         }
     }
-    return isReadable ? cli_exit::Ok : cli_exit::Failed;
+    return areAllDecoded ? cli_exit::Ok : cli_exit::Failed;
 }
 
-cli_exit explainKey(const cli_session &session, const std::string &daemon,
+cli_exit explainKey(const cli_session &session, const std::string &adminAddress,
                     const std::string &service, const std::string &key)
 {
-    const std::string target = absl::StrCat("/v1/explain?service=", encodeParameter(service),
-                                            "&key=", encodeParameter(key));
-    const auto body = session.hooks.httpGet(daemon, target);
+    const std::string pathAndQuery = absl::StrCat(
+        "/v1/explain?service=", encodeQueryParameter(service), "&key=", encodeQueryParameter(key));
+    const auto body = session.hooks.httpGet(adminAddress, pathAndQuery);
     if (!body.ok()) {
         return session.fail(body.status());
     }
-    const auto lines = flattenJson(*body);
-    if (!lines.ok()) {
-        return session.fail(lines.status());
+    const auto fields = flattenJson(*body);
+    if (!fields.ok()) {
+        return session.fail(fields.status());
     }
-    for (const auto &[path, value] : *lines) {
+    for (const auto &[path, value] : *fields) {
         session.out << path << ": " << value << "\n";
     }
     return cli_exit::Ok;
@@ -181,20 +185,20 @@
 
 cli_exit listMembers(const cli_session &session)
 {
-    const auto members = session.platform.list(memberDirectory);
+    const auto members = session.platform.list(memberPrefix);
     if (!members.ok()) {
         return session.fail(members.status());
     }
     cli_exit result = cli_exit::Ok;
     for (const auto &object : members->objects) {
-        const std::string name = object.key.substr(sizeof memberDirectory - 1);
-        const auto lines = flattenJson(object.value);
-        if (!lines.ok()) {
-            result = session.fail(absl::StrCat(name, ": ", std::string(lines.status().message())));
+        const std::string name = object.key.substr(sizeof memberPrefix - 1);
+        const auto fields = flattenJson(object.value);
+        if (!fields.ok()) {
+            result = session.fail(absl::StrCat(name, ": ", std::string(fields.status().message())));
             continue;
         }
         session.out << name;
-        for (const auto &[path, value] : *lines) {
+        for (const auto &[path, value] : *fields) {
             session.out << " " << path << "=" << value;
         }
         session.out << "\n";
--- a/src/persimmonrail/cli/system_hooks.cpp
+++ b/src/persimmonrail/cli/system_hooks.cpp
@@ -12,23 +12,24 @@
 namespace persimmonrail {
 namespace {
 
-// The platform answers in milliseconds; an operator should not wait long for one that is down.
+// The platform normally responds within milliseconds; a longer timeout would only delay the error
+// of a platform that is down.
 constexpr milliseconds callTimeout{5'000};
 
-absl::StatusOr<std::string> httpGet(const std::string &address, const std::string &target)
+absl::StatusOr<std::string> httpGet(const std::string &address, const std::string &pathAndQuery)
 {
     const auto parsed = parseSocketAddress(address);
     if (!parsed.ok()) {
         return parsed.status();
     }
     http_connection_pool pool(*parsed, callTimeout);
-    auto response = pool.exchange({"GET", target, "", callTimeout, true});
+    auto response = pool.exchange({"GET", pathAndQuery, "", callTimeout, true});
     if (!response.ok()) {
         return response.status();
     }
     if (response->status != 200) {
-        return absl::UnavailableError(
-            absl::StrCat(address, " answered ", response->status, ": ", response->body));
+        return absl::UnavailableError(absl::StrCat(address, " responded with status ",
+                                                   response->status, ": ", response->body));
     }
     return std::move(response->body);
 }
@@ -36,7 +37,7 @@
 absl::StatusOr<std::string> readFile(const std::string &path)
 {
     std::ifstream file(path, std::ios::binary);
-    // One byte more than allowed is read, so that an excess shows.
+    // Reading one byte more than a document may have lets the parser reject a larger file.
     std::string text(maxDocumentBytes + 1, '\0');
     file.read(text.data(), static_cast<std::streamsize>(text.size()));
     if (!file.is_open() || file.bad()) {
@@ -57,7 +58,7 @@
     hooks.httpGet = httpGet;
     hooks.readFile = readFile;
     hooks.now = [] { return std::chrono::steady_clock::now(); };
-    hooks.pause = [](milliseconds time) { std::this_thread::sleep_for(time); };
+    hooks.sleepFor = [](milliseconds duration) { std::this_thread::sleep_for(duration); };
     return hooks;
 }
 
--- a/src/persimmonrail/cli/tests/command_line_test.cpp
+++ b/src/persimmonrail/cli/tests/command_line_test.cpp
@@ -23,21 +23,22 @@
         + rank + R"(","timeout_ms":5,"repeatable":true}]})";
 }
 
-const std::string valid = documentText("ledger");
-const std::string changed = documentText("ledger") + "\n";
+const std::string validText = documentText("ledger");
+const std::string changedText = documentText("ledger") + "\n";
 
-struct result
+struct command_result
 {
     cli_exit code;
     std::string out;
     std::string err;
 };
 
-// A platform, hooks whose files are kept in memory and whose clock only moves in pauses.
-class fixture
+// A platform stand-in and hooks whose files are kept in memory and whose clock advances only in
+// sleepFor().
+class cli_fixture
 {
 public:
-    fixture()
+    cli_fixture()
         : api(makeHttpObjectApi(standin.address(), timeout))
     {
         hooks = makeCliHooks();
@@ -50,10 +51,10 @@
             return found->second;
         };
         hooks.now = [this] { return now; };
-        hooks.pause = [this](milliseconds time) { now += time; };
+        hooks.sleepFor = [this](milliseconds duration) { now += duration; };
     }
 
-    result run(std::vector<std::string> arguments)
+    command_result run(std::vector<std::string> arguments)
     {
         const bool usesPlatform = arguments[0] != "validate" && arguments[0] != "explain";
         if (usesPlatform) {
@@ -65,8 +66,9 @@
         return {code, out.str(), err.str()};
     }
 
-    // Judges each stored version as the coordinator does, until the one after `revision` is judged.
-    std::future<void> coordinate(uint64_t revision)
+    // Waits for a document that is stored after `revision`, decides on the document as the
+    // coordinator does and stores the status.
+    std::future<void> runCoordinator(uint64_t revision)
     {
         return std::async(std::launch::async, [this, revision] {
             const auto changes = api.watch("config/ledger", revision, timeout);
@@ -82,12 +84,13 @@
     standins::platform_standin standin;
     object_api api;
     cli_hooks hooks;
-    std::map<std::string, std::string> files = {
-        {"valid", valid}, {"changed", changed}, {"invalid", documentText("ledger", "nobody")}};
+    std::map<std::string, std::string> files = {{"valid", validText},
+                                                {"changed", changedText},
+                                                {"invalid", documentText("ledger", "nobody")}};
     steady_time now{};
 };
 
-void contains(const std::string &text, const std::string &part)
+void checkContains(const std::string &text, const std::string &part)
 {
     CAPTURE(text, part);
     CHECK(text.find(part) != std::string::npos);
@@ -97,33 +100,33 @@
 
 TEST_CASE("validate reports all errors of a file", "[cli]")
 {
-    fixture f;
+    cli_fixture f;
     CHECK(f.run({"validate", "valid"}).code == cli_exit::Ok);
-    const auto refused = f.run({"validate", "invalid"});
-    CHECK(refused.code == cli_exit::Failed);
-    contains(refused.err, "operations[0].rank: no rank is named 'nobody'");
+    const auto rejected = f.run({"validate", "invalid"});
+    CHECK(rejected.code == cli_exit::Failed);
+    checkContains(rejected.err, "operations[0].rank: no rank is named 'nobody'");
     CHECK(f.run({"validate", "missing"}).code == cli_exit::Failed);
     CHECK(f.standin.calls().reads == 0);
 }
 
-TEST_CASE("apply stores a document and prints the verdict", "[cli]")
+TEST_CASE("apply stores a document and prints that it was accepted", "[cli]")
 {
-    fixture f;
-    auto coordinator = f.coordinate(0);
+    cli_fixture f;
+    auto coordinator = f.runCoordinator(0);
     const auto applied = f.run({"apply", "valid"});
     coordinator.get();
     CHECK(applied.code == cli_exit::Ok);
-    contains(applied.out, "accepted: version 1");
-    CHECK(f.api.get("config/ledger")->value == valid);
+    checkContains(applied.out, "accepted: version 1");
+    CHECK(f.api.get("config/ledger")->value == validText);
     // Applying the same text again changes nothing.
     const auto again = f.run({"apply", "valid"});
     CHECK(again.code == cli_exit::Ok);
-    contains(again.out, "unchanged: config/ledger version 1");
+    checkContains(again.out, "unchanged: config/ledger version 1");
 }
 
 TEST_CASE("apply prints why a document was rejected", "[cli]")
 {
-    fixture f;
+    cli_fixture f;
     auto coordinator = std::async(std::launch::async, [&] {
         const auto changes = f.api.watch("config/ledger", 0, timeout);
         const document_status status{changes->objects.back().version,
@@ -135,23 +138,24 @@
     const auto applied = f.run({"apply", "valid"});
     CHECK(coordinator.get());
     CHECK(applied.code == cli_exit::Failed);
-    contains(applied.out, "rejected: version 1\nkey: cannot change");
+    checkContains(applied.out, "rejected: version 1\nkey: cannot change");
 }
 
 TEST_CASE("an invalid document is not written", "[cli]")
 {
-    fixture f;
+    cli_fixture f;
     CHECK(f.run({"apply", "invalid"}).code == cli_exit::Failed);
     CHECK(f.standin.calls().writes == 0);
 }
 
-// Guards against one operator silently undoing the change of another.
-TEST_CASE("of two operators racing on one document one is refused", "[cli]")
+// Guards against one operator overwriting the change of another operator unnoticed: both read the
+// same version, and the second write replaces the first.
+TEST_CASE("a document that another operator changed or deleted is not overwritten", "[cli]")
 {
-    fixture f;
-    REQUIRE(f.api.put("config/ledger", 0, valid).ok());
-    const std::string other = valid + "  ";
-    SECTION("the other operator writes between reading and writing")
+    cli_fixture f;
+    REQUIRE(f.api.put("config/ledger", 0, validText).ok());
+    const std::string other = validText + "  ";
+    SECTION("the other operator writes between the read and the write")
     {
         auto racing = f.api;
         racing.put = [&f, &other](const std::string &key, uint64_t version,
@@ -162,75 +166,77 @@
         f.hooks.connect = [&](const std::string &) { return racing; };
         const auto applied = f.run({"apply", "changed"});
         CHECK(applied.code == cli_exit::Failed);
-        contains(applied.err, "config/ledger is at version 2, expected version 1");
+        checkContains(applied.err, "config/ledger is at version 2, expected version 1");
     }
-    SECTION("the other operator wrote before, and a version is expected")
+    SECTION("the other operator writes before the command, which expects a version")
     {
         REQUIRE(f.api.put("config/ledger", 1, other).ok());
         const auto applied = f.run({"apply", "changed", "--expect-version", "1"});
         CHECK(applied.code == cli_exit::Failed);
-        contains(applied.err, "config/ledger is at version 2, expected version 1");
+        checkContains(applied.err, "config/ledger is at version 2, expected version 1");
     }
     SECTION("the document was deleted")
     {
         REQUIRE(f.api.remove("config/ledger", 1).ok());
         const auto applied = f.run({"apply", "changed", "--expect-version=1"});
         CHECK(applied.code == cli_exit::Failed);
-        contains(applied.err, "config/ledger does not exist");
+        checkContains(applied.err, "config/ledger does not exist");
         CHECK(absl::IsNotFound(f.api.get("config/ledger").status()));
         return;
     }
     CHECK(f.api.get("config/ledger")->value == other);
 }
 
-// Guards against reporting a failure for a document that takes effect, and against writing twice.
-TEST_CASE("apply reads back when the answer to its write is lost", "[cli]")
+// Guards against reporting a failure for a document that takes effect, and against storing the
+// document twice, when the response to the write is lost.
+TEST_CASE("apply reads the document back when the response to its write is lost", "[cli]")
 {
-    fixture f;
-    REQUIRE(f.api.put("config/ledger", 0, valid).ok());
+    cli_fixture f;
+    REQUIRE(f.api.put("config/ledger", 0, validText).ok());
     SECTION("the write took effect")
     {
         f.standin.dropResponses(1);
-        auto coordinator = f.coordinate(1);
+        auto coordinator = f.runCoordinator(1);
         const auto applied = f.run({"apply", "changed"});
         coordinator.get();
         CHECK(applied.code == cli_exit::Ok);
-        contains(applied.out, "version 2 (confirmed by reading back)");
+        checkContains(applied.out, "version 2 (confirmed by reading back)");
     }
-    SECTION("the write was lost or takes effect after the read")
+    SECTION("the write is lost or takes effect after the read")
     {
-        const bool isLate = GENERATE(true, false);
+        const bool takesEffectLate = GENERATE(true, false);
         int attempts = 0;
         auto lossy = f.api;
         lossy.put = [&](const std::string &key, uint64_t version,
                         const std::string &value) -> absl::StatusOr<uint64_t> {
             if (++attempts == 1) {
-                return absl::UnknownError("no answer");
+                return absl::UnknownError("no response");
             }
-            if (isLate) {
+            if (takesEffectLate) {
                 f.api.put(key, version, value).IgnoreError();
             }
             return f.api.put(key, version, value);
         };
         f.hooks.connect = [&](const std::string &) { return lossy; };
-        auto coordinator = f.coordinate(1);
+        auto coordinator = f.runCoordinator(1);
         const auto applied = f.run({"apply", "changed"});
         coordinator.get();
         CHECK(applied.code == cli_exit::Ok);
         CHECK(attempts == 2);
     }
     CHECK(f.api.get("config/ledger")->version == 2);
-    CHECK(f.api.get("config/ledger")->value == changed);
+    CHECK(f.api.get("config/ledger")->value == changedText);
 }
 
 TEST_CASE("apply gives up after its time limit", "[cli]")
 {
-    fixture f;
+    cli_fixture f;
     SECTION("no coordinator")
     {
         const auto applied = f.run({"apply", "valid", "--wait-ms=0"});
         CHECK(applied.code == cli_exit::Failed);
-        contains(applied.err, "version 1 is stored, but there is no verdict yet");
+        checkContains(applied.err,
+                      "version 1 is stored, but has been neither accepted nor rejected yet");
     }
     SECTION("the platform is down")
     {
@@ -250,38 +256,38 @@
         f.hooks.connect = [&](const std::string &) { return failing; };
         const auto applied = f.run({"apply", "valid", "--wait-ms=1000"});
         CHECK(applied.code == cli_exit::Failed);
-        contains(applied.err, "may have been stored");
+        checkContains(applied.err, "may have been stored");
     }
-    SECTION("a later version was judged instead")
+    SECTION("the coordinator decided on a later version")
     {
         const document_status later{9, document_state::Accepted, {}, {}};
         REQUIRE(f.api.put("status/ledger", 0, encodeStatus(later)).ok());
         const auto applied = f.run({"apply", "valid"});
         CHECK(applied.code == cli_exit::Failed);
-        contains(applied.err, "was replaced by version 9");
+        checkContains(applied.err, "was replaced by version 9");
     }
 }
 
-TEST_CASE("show and status print what is stored", "[cli]")
+TEST_CASE("show and status print the stored document and status", "[cli]")
 {
-    fixture f;
+    cli_fixture f;
     CHECK(f.run({"show", "ledger"}).code == cli_exit::Failed);
     CHECK(f.run({"status", "ledger"}).code == cli_exit::Failed);
-    REQUIRE(f.api.put("config/ledger", 0, valid).ok());
-    REQUIRE(f.api.put("accepted/ledger", 0, encodeAccepted({1, valid})).ok());
+    REQUIRE(f.api.put("config/ledger", 0, validText).ok());
+    REQUIRE(f.api.put("accepted/ledger", 0, encodeAccepted({1, validText})).ok());
     const document_status status{
         1, document_state::Accepted, wall_time{milliseconds(1'700'000'000'000)}, {}};
     REQUIRE(f.api.put("status/ledger", 0, encodeStatus(status)).ok());
     REQUIRE(f.api.put("config/ledger-2", 0, documentText("ledger-2")).ok());
     const auto shown = f.run({"show", "ledger"});
     CHECK(shown.out
-          == valid
+          == validText
               + "\nversion: 1\naccepted: version 1\nledger: version 1 accepted "
                 "2023-11-14T22:13:20Z\n");
     const auto all = f.run({"status"});
     CHECK(all.out
           == "ledger: version 1 accepted 2023-11-14T22:13:20Z\n"
-             "ledger-2: version 4 awaits a verdict\n");
+             "ledger-2: version 4 is neither accepted nor rejected yet\n");
     CHECK(f.run({"status", "ledger"}).out == "ledger: version 1 accepted 2023-11-14T22:13:20Z\n");
     f.standin.setOutage(true);
     CHECK(f.run({"status"}).code == cli_exit::Failed);
@@ -290,16 +296,16 @@
 
 TEST_CASE("members are printed one per line", "[cli]")
 {
-    fixture f;
+    cli_fixture f;
     REQUIRE(f.api.put("member/ledger-0", 0, R"({"slots":20,"region":"bav\u001b"})").ok());
     REQUIRE(f.api.put("member/ledger-1", 0, "damaged").ok());
     const auto members = f.run({"members"});
     CHECK(members.out == "ledger-0 region=bav\\x1b slots=20\n");
-    contains(members.err, "ledger-1: not valid JSON");
+    checkContains(members.err, "ledger-1: not valid JSON");
     CHECK(members.code == cli_exit::Failed);
 }
 
-TEST_CASE("explain prints the daemon's answer line by line", "[cli]")
+TEST_CASE("explain prints one line per field of the daemon's response", "[cli]")
 {
     standins::json_server daemon("127.0.0.1:0", 1, [](const standins::json_call &call) {
         standins::json_response response{call.path == "/v1/explain" ? 200 : 404};
@@ -309,15 +315,15 @@
         response.body->set("owner", owner);
         return response;
     });
-    fixture f;
+    cli_fixture f;
     const auto explained = f.run({"explain", "--daemon", daemon.address(), "ledger", "a&b=c"});
     CHECK(explained.code == cli_exit::Ok);
     CHECK(explained.out == "key: ledger/a&b=c\nowner.name: ledger-1\n");
 }
 
-TEST_CASE("wrong usage exits with 2 and reaches nothing", "[cli]")
+TEST_CASE("a usage error returns exit code 2 and sends no request", "[cli]")
 {
-    fixture f;
+    cli_fixture f;
     const auto arguments = GENERATE(values<std::vector<std::string>>({
         {"frobnicate"},
         {"apply"},
@@ -331,9 +337,9 @@
         {"explain", "ledger", "7", "--daemon=host:1"},
         {"members", "--expect-version=1"},
     }));
-    const auto refused = f.run(arguments);
-    CHECK(refused.code == cli_exit::Usage);
-    CHECK(!refused.err.empty());
+    const auto rejected = f.run(arguments);
+    CHECK(rejected.code == cli_exit::Usage);
+    CHECK(!rejected.err.empty());
     CHECK(f.standin.calls().reads + f.standin.calls().writes == 0);
     std::ostringstream out;
     CHECK(runCommandLine({"members"}, {}, f.hooks, out, out) == cli_exit::Usage);
