--- a/src/persimmonrail/daemon/background_worker.h
+++ b/src/persimmonrail/daemon/background_worker.h
@@ -8,28 +8,31 @@
 
 namespace persimmonrail {
 
-// Runs blocking calls on a thread of its own, one after the other. Thread safe.
+// Runs blocking calls one after the other on a dedicated thread.
+//
+// Thread safe.
 class background_worker
 {
 public:
     background_worker();
     background_worker(const background_worker &) = delete;
     background_worker &operator=(const background_worker &) = delete;
-    // Waits for the call under way; calls not yet begun are dropped.
+    // Waits for the running call to return. Calls that have not started are dropped.
     ~background_worker();
 
+    // Appends a call to the queue and returns at once.
     void enqueue(std::function<void()> call);
-    // Calls that wait or are under way.
-    size_t pending() const;
+    // Returns the number of calls that are queued or running.
+    size_t pendingCalls() const;
 
 private:
-    void run();
+    void runCalls();
 
     mutable std::mutex m_mutex;
     std::condition_variable m_wakeUp;
     std::deque<std::function<void()>> m_calls;
-    bool m_busy = false;
-    bool m_stopping = false;
+    bool m_isRunningCall = false;
+    bool m_isStopping = false;
     std::thread m_thread;
 };
 
--- a/src/persimmonrail/daemon/control_loop.cpp
+++ b/src/persimmonrail/daemon/control_loop.cpp
@@ -18,21 +18,21 @@
     stop();
 }
 
-void control_loop::every(milliseconds interval, task run)
+void control_loop::every(milliseconds interval, task callback)
 {
-    m_periodicTasks.push_back({interval, clockNow() + interval, std::move(run)});
+    m_periodicTasks.push_back({interval, clockNow() + interval, std::move(callback)});
 }
 
 void control_loop::start()
 {
-    m_thread = std::thread([this] { run(); });
+    m_thread = std::thread([this] { runLoop(); });
 }
 
 void control_loop::stop()
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_stopping = true;
+        m_isStopping = true;
     }
     m_wakeUp.notify_all();
     if (m_thread.joinable()) {
@@ -40,24 +40,24 @@
     }
 }
 
-void control_loop::post(task run)
+void control_loop::post(task callback)
 {
     {
         const std::lock_guard lock(m_mutex);
-        if (m_stopping) {
+        if (m_isStopping) {
             return;
         }
-        m_tasks.push_back(std::move(run));
+        m_tasks.push_back(std::move(callback));
     }
     m_wakeUp.notify_one();
 }
 
-bool control_loop::postAndWait(task run)
+bool control_loop::postAndWait(task callback)
 {
     auto finished = std::make_shared<std::promise<void>>();
     auto result = finished->get_future();
-    post([finished, run = std::move(run)](steady_time now) {
-        run(now);
+    post([finished, callback = std::move(callback)](steady_time now) {
+        callback(now);
         finished->set_value();
     });
     finished.reset();
@@ -65,47 +65,48 @@
         result.get();
         return true;
     } catch (const std::future_error &) {
-        // The promise was dropped unfulfilled: the loop has stopped.
+        // The loop has stopped and destroyed the task, and with it the unfulfilled promise.
         return false;
     }
 }
 
-steady_time control_loop::nextDue() const
+steady_time control_loop::nextDueTime() const
 {
-    steady_time due = clockNow() + std::chrono::hours(1);
+    steady_time dueAt = clockNow() + std::chrono::hours(1);
     for (const auto &periodic : m_periodicTasks) {
-        due = std::min(due, periodic.due);
+        dueAt = std::min(dueAt, periodic.dueAt);
     }
-    return due;
+    return dueAt;
 }
 
-void control_loop::runPeriodicTasks()
+void control_loop::runDuePeriodicTasks()
 {
     for (auto &periodic : m_periodicTasks) {
         const steady_time now = clockNow();
-        if (periodic.due <= now) {
-            periodic.due = now + periodic.interval;
-            periodic.run(now);
+        if (periodic.dueAt <= now) {
+            periodic.dueAt = now + periodic.interval;
+            periodic.callback(now);
         }
     }
 }
 
-void control_loop::run()
+void control_loop::runLoop()
 {
     std::unique_lock lock(m_mutex);
     while (true) {
-        m_wakeUp.wait_until(lock, nextDue(), [this] { return m_stopping || !m_tasks.empty(); });
+        m_wakeUp.wait_until(lock, nextDueTime(),
+                            [this] { return m_isStopping || !m_tasks.empty(); });
         std::deque<task> tasks;
         tasks.swap(m_tasks);
-        const bool stopping = m_stopping;
+        const bool isStopping = m_isStopping;
         lock.unlock();
         for (const auto &task : tasks) {
             task(clockNow());
         }
-        if (stopping) {
+        if (isStopping) {
             return;
         }
-        runPeriodicTasks();
+        runDuePeriodicTasks();
         lock.lock();
     }
 }
--- a/src/persimmonrail/daemon/control_loop.h
+++ b/src/persimmonrail/daemon/control_loop.h
@@ -11,10 +11,12 @@
 
 namespace persimmonrail {
 
-// The thread that owns all control state. Runs posted tasks in order, and periodic tasks when they
-// are due; each gets the present time.
+// Event loop of the control thread, which owns all control state. Runs posted tasks in the order in
+// which they were posted, and runs each periodic task when its interval has passed. Each task
+// receives the current time.
 //
-// post() is thread safe; the rest is called before start() or by the owner.
+// post() and postAndWait() are thread safe. The other functions are called before start() or by the
+// thread that owns the loop object.
 class control_loop
 {
 public:
@@ -25,32 +27,36 @@
     control_loop &operator=(const control_loop &) = delete;
     ~control_loop();
 
-    // Runs `run` about every `interval`; an execution that was missed is not made up for.
-    void every(milliseconds interval, task run);
+    // Registers a task that runs about every `interval`. The interval counts from the start of the
+    // previous run, so missed runs are skipped. Must be called before start().
+    void every(milliseconds interval, task callback);
+    // Starts the control thread.
     void start();
-    // Runs what has been posted, then ends the thread. Tasks posted later are dropped.
+    // Runs the tasks that are already posted, then ends the control thread. Tasks posted later are
+    // dropped.
     void stop();
-    void post(task run);
-    // Posts a task and waits until it has run. Must not be called on the control thread. Returns
-    // false if the loop has stopped.
-    bool postAndWait(task run);
+    // Enqueues a task for the control thread and returns at once.
+    void post(task callback);
+    // Enqueues a task and blocks until the task has run. Returns false, without running the task,
+    // if the loop has stopped. Must not be called on the control thread, where it would deadlock.
+    bool postAndWait(task callback);
 
 private:
     struct periodic_task
     {
         milliseconds interval;
-        steady_time due;
-        task run;
+        steady_time dueAt;
+        task callback;
     };
 
-    void run();
-    steady_time nextDue() const;
-    void runPeriodicTasks();
+    void runLoop();
+    steady_time nextDueTime() const;
+    void runDuePeriodicTasks();
 
     std::mutex m_mutex;
     std::condition_variable m_wakeUp;
     std::deque<task> m_tasks;
-    bool m_stopping = false;
+    bool m_isStopping = false;
     std::vector<periodic_task> m_periodicTasks;
     std::thread m_thread;
 };
--- a/src/persimmonrail/daemon/control_messenger.cpp
+++ b/src/persimmonrail/daemon/control_messenger.cpp
@@ -27,13 +27,13 @@
     std::unique_ptr<control_messenger> messenger(new control_messenger(self, loop));
     const auto onRequest = [&loop, self, handler = std::move(handler)](wire::Request request,
                                                                        const responder &respond) {
-        const responder identified = [self, respond](const wire::Reply &reply) {
-            wire::Reply signedReply = reply;
-            *signedReply.mutable_sender() = toWire(self);
-            respond(signedReply);
+        const responder respondWithSender = [self, respond](const wire::Reply &reply) {
+            wire::Reply replyWithSender = reply;
+            *replyWithSender.mutable_sender() = toWire(self);
+            respond(replyWithSender);
         };
-        loop.post([handler, identified, request = std::move(request)](steady_time now) {
-            handler(request, identified, now);
+        loop.post([handler, respondWithSender, request = std::move(request)](steady_time now) {
+            handler(request, respondWithSender, now);
         });
     };
     auto channel = control_channel::listen(address, onRequest);
--- a/src/persimmonrail/daemon/control_messenger.h
+++ b/src/persimmonrail/daemon/control_messenger.h
@@ -9,8 +9,10 @@
 
 namespace persimmonrail {
 
-// Connects the control channel to the control thread: requests of peers are handled there, and the
-// completions of own requests run there.
+// Sends and receives control messages on behalf of the control thread: the handler of requests from
+// peers and the completions of requests to peers both run on the control thread.
+//
+// send() and the accessors are thread safe.
 class control_messenger
 {
 public:
@@ -19,16 +21,21 @@
                                                const responder &respond, steady_time now)>;
     using completion = std::function<void(absl::StatusOr<wire::Reply> reply, steady_time now)>;
 
-    // `loop` must outlive the messenger. Errors: Unavailable if the address can't be bound.
+    // Listens on `address` and passes each request of a peer to `handler`. Replies carry `self` as
+    // their sender. `loop` must outlive the messenger.
+    //
+    // Errors: Unavailable if the address can't be bound.
     static absl::StatusOr<std::unique_ptr<control_messenger>> listen(const std::string &address,
                                                                      const instance_id &self,
                                                                      control_loop &loop,
                                                                      request_handler handler);
 
-    // Fills in the sender and sends the request to `address`.
+    // Sets the sender of the request and sends the request to `address`. `done` receives the reply,
+    // or the error if no reply arrives within `timeout`.
     void send(const std::string &address, wire::Request request, milliseconds timeout,
               completion done);
 
+    // Address that the messenger listens on, with the actual port.
     const std::string &address() const { return m_channel->address(); }
     const control_traffic &traffic() const { return m_channel->traffic(); }
 
@@ -40,6 +47,7 @@
     std::unique_ptr<control_channel> m_channel;
 };
 
+// Convert between an instance id and its protobuf message.
 wire::InstanceId toWire(const instance_id &id);
 instance_id fromWire(const wire::InstanceId &id);
 
--- a/src/persimmonrail/daemon/coordinator_driver.cpp
+++ b/src/persimmonrail/daemon/coordinator_driver.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr milliseconds pingTimeout{1000};
-// A confirmation contains a ping by the helper.
+// Longer than pingTimeout, because the helper pings the suspect before it replies.
 constexpr milliseconds probeTimeout{3000};
 constexpr std::string_view configPrefix = "config/";
 
@@ -17,10 +17,10 @@
 
 coordinator_driver::coordinator_driver(const instance_id &self, const std::string &availabilityZone,
                                        control_messenger &messenger, platform_worker &platform,
-                                       const object_replica &store, decision_log &log)
+                                       const object_replica &replica, decision_log &log)
     : m_messenger(messenger)
     , m_platform(platform)
-    , m_store(store)
+    , m_replica(replica)
     , m_log(log)
     , m_coordinator(self, availabilityZone, makeHooks())
 { }
@@ -34,12 +34,12 @@
         return member.slots > 0 ? member_condition::Available : member_condition::Draining;
     };
     hooks.writeRecord = [this](const record_change &change) { writeRecord(change); };
-    hooks.newerDocuments = [this] { return newerDocuments(); };
+    hooks.newerDocuments = [this] { return documentsAwaitingDecision(); };
     hooks.acceptDocument = [this](const std::string &service, const stored_object &config) {
-        acceptDocument(service, config);
+        evaluateDocument(service, config);
     };
     hooks.askConfirmation = [this](const member_record &helper, const member_record &suspect) {
-        askConfirmation(helper, suspect);
+        requestProbe(helper, suspect);
     };
     hooks.removeMember = [this](const member_record &member) { removeMember(member); };
     return hooks;
@@ -56,15 +56,16 @@
         wire::Request request;
         request.mutable_ping();
         m_messenger.send(member.controlAddress, std::move(request), pingTimeout,
-                         [this](const absl::StatusOr<wire::Reply> &reply, steady_time later) {
+                         [this](const absl::StatusOr<wire::Reply> &reply, steady_time receivedAt) {
                              if (reply.ok()) {
-                                 m_coordinator.recordResponse(fromWire(reply->sender()), later);
+                                 m_coordinator.recordResponse(fromWire(reply->sender()),
+                                                              receivedAt);
                              }
                          });
     }
 }
 
-void coordinator_driver::tick(steady_time now)
+void coordinator_driver::runDueTasks(steady_time now)
 {
     m_coordinator.tick(now);
 }
@@ -89,34 +90,34 @@
         });
 }
 
-// The service's current verdict is the one in the store, so a document counts as new until its
-// verdict has come back through a pull or a watch.
-std::vector<stored_object> coordinator_driver::newerDocuments() const
+// The decision in force is the status object in this daemon's replica. A document therefore counts
+// as undecided until its written status has reached the replica through a pull or a watch.
+std::vector<stored_object> coordinator_driver::documentsAwaitingDecision() const
 {
-    std::vector<stored_object> newer;
-    m_store.visitPrefix(configPrefix, [&](const stored_object &config) {
+    std::vector<stored_object> documents;
+    m_replica.visitPrefix(configPrefix, [&](const stored_object &config) {
         const std::string service = config.key.substr(configPrefix.size());
-        const stored_object *status = m_store.find(statusKey(service));
-        const auto verdict = status == nullptr
+        const stored_object *statusObject = m_replica.find(statusKey(service));
+        const auto status = statusObject == nullptr
             ? absl::StatusOr<document_status>(absl::NotFoundError(""))
-            : decodeStatus(status->value);
-        if (!verdict.ok() || verdict->sourceVersion < config.version) {
-            newer.push_back(config);
+            : decodeStatus(statusObject->value);
+        if (!status.ok() || status->sourceVersion < config.version) {
+            documents.push_back(config);
         }
     });
-    return newer;
+    return documents;
 }
 
-void coordinator_driver::acceptDocument(const std::string &service, const stored_object &config)
+void coordinator_driver::evaluateDocument(const std::string &service, const stored_object &config)
 {
     std::optional<accepted_document> current;
-    if (const auto *object = m_store.find(acceptedKey(service)); object != nullptr) {
+    if (const auto *object = m_replica.find(acceptedKey(service)); object != nullptr) {
         if (auto decoded = decodeAccepted(object->value); decoded.ok()) {
             current = *std::move(decoded);
         }
     }
     std::optional<document_status> status;
-    if (const auto *object = m_store.find(statusKey(service)); object != nullptr) {
+    if (const auto *object = m_replica.find(statusKey(service)); object != nullptr) {
         if (auto decoded = decodeStatus(object->value); decoded.ok()) {
             status = *std::move(decoded);
         }
@@ -124,19 +125,19 @@
     const auto decision =
         decideAcceptance(config, current, status, std::chrono::system_clock::now());
     if (decision.accepted) {
-        writeVerdict(acceptedKey(service), encodeAccepted(*decision.accepted));
+        writeDecision(acceptedKey(service), encodeAccepted(*decision.accepted));
     }
     if (decision.status) {
-        writeVerdict(statusKey(service), encodeStatus(*decision.status));
+        writeDecision(statusKey(service), encodeStatus(*decision.status));
     }
 }
 
-void coordinator_driver::writeVerdict(const std::string &key, const std::string &value)
+void coordinator_driver::writeDecision(const std::string &key, const std::string &value)
 {
     if (!m_pendingWrites.insert(key).second) {
         return;
     }
-    const stored_object *current = m_store.find(key);
+    const stored_object *current = m_replica.find(key);
     m_platform.put(key, current == nullptr ? 0 : current->version, value,
                    [this, key](const absl::StatusOr<uint64_t> &version, steady_time) {
                        m_pendingWrites.erase(key);
@@ -147,7 +148,7 @@
                    });
 }
 
-void coordinator_driver::askConfirmation(const member_record &helper, const member_record &suspect)
+void coordinator_driver::requestProbe(const member_record &helper, const member_record &suspect)
 {
     wire::Request request;
     *request.mutable_probe()->mutable_suspect() = toWire(suspect.id);
@@ -178,7 +179,7 @@
 void coordinator_driver::removeMember(const member_record &member)
 {
     const std::string key = memberKey(member.id.name);
-    const stored_object *object = m_store.find(key);
+    const stored_object *object = m_replica.find(key);
     if (object == nullptr || !m_pendingWrites.insert(key).second) {
         return;
     }
@@ -186,7 +187,7 @@
         key, object->version, [this, key](const absl::StatusOr<uint64_t> &version, steady_time) {
             m_pendingWrites.erase(key);
             m_log.write(log_level::Warn,
-                        absl::StrCat("removed silent member key=", key, " result=",
+                        absl::StrCat("removal of unresponsive member key=", key, " result=",
                                      version.ok() ? "deleted" : version.status().ToString()));
         });
 }
--- a/src/persimmonrail/daemon/daemon.cpp
+++ b/src/persimmonrail/daemon/daemon.cpp
@@ -6,11 +6,11 @@
 
 absl::StatusOr<std::unique_ptr<daemon>> daemon::start(const daemon_settings &settings)
 {
-    auto created = std::make_unique<state>(settings);
-    if (auto status = created->start(); !status.ok()) {
+    auto newState = std::make_unique<state>(settings);
+    if (auto status = newState->start(); !status.ok()) {
         return status;
     }
-    return std::unique_ptr<daemon>(new daemon(std::move(created)));
+    return std::unique_ptr<daemon>(new daemon(std::move(newState)));
 }
 
 daemon::daemon(std::unique_ptr<state> state)
@@ -26,17 +26,17 @@
 
 const std::string &daemon::callerAddress() const
 {
-    return m_state->callers().address();
+    return m_state->callerServer().address();
 }
 
 const std::string &daemon::peerAddress() const
 {
-    return m_state->peers().address();
+    return m_state->peerServer().address();
 }
 
 const std::string &daemon::adminAddress() const
 {
-    return m_state->admin().address();
+    return m_state->adminServer().address();
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/daemon/daemon_traffic.cpp
+++ b/src/persimmonrail/daemon/daemon_traffic.cpp
@@ -1,4 +1,4 @@
-// The request path of the daemon: hooks from the gateway to the control state.
+// The HTTP servers of the daemon, and the hooks that connect these servers to the other components.
 #include "persimmonrail/daemon/daemon_state.h"
 
 #include "persimmonrail/daemon/serving_lease_ticket.h"
@@ -9,9 +9,9 @@
 namespace persimmonrail {
 namespace {
 
-// More than the daemons of a fleet, each of which may keep a connection open.
+// More than the number of daemons in a fleet, each of which may keep a connection open.
 constexpr int maxPeerConnections = 10'000;
-// The upstream, operators and collectors of metrics need a few.
+// The upstream, operators and metrics collectors need only a few connections.
 constexpr int maxAdminConnections = 256;
 
 double processCpuSeconds()
@@ -23,7 +23,7 @@
 
 } // namespace
 
-absl::Status daemon::state::startTraffic()
+absl::Status daemon::state::startServers()
 {
     request_router_options options;
     options.instance = m_self.name;
@@ -36,35 +36,37 @@
     if (!peers.ok()) {
         return peers.status();
     }
-    m_peers = *std::move(peers);
+    m_peerServer = *std::move(peers);
     server.address = m_settings.callerAddress;
     server.maxConnections = m_settings.maxCallerConnections;
     auto callers = caller_server::listen(server, *m_requestRouter);
     if (!callers.ok()) {
         return callers.status();
     }
-    m_callers = *std::move(callers);
+    m_callerServer = *std::move(callers);
     server.address = m_settings.adminAddress;
     server.maxConnections = maxAdminConnections;
     auto admin = admin_server::listen(server, makeAdminHooks());
     if (!admin.ok()) {
         return admin.status();
     }
-    m_admin = *std::move(admin);
+    m_adminServer = *std::move(admin);
     return absl::OkStatus();
 }
 
 gateway_hooks daemon::state::makeGatewayHooks()
 {
     gateway_hooks hooks;
-    hooks.view = [this] { return m_sync ? m_sync->view() : std::make_shared<const fleet_view>(); };
+    hooks.view = [this] {
+        return m_syncDriver ? m_syncDriver->view() : std::make_shared<const fleet_view>();
+    };
     hooks.localLease = [this](std::string_view service, uint64_t hash,
                               steady_time now) -> std::unique_ptr<lease_ticket> {
-        auto ticket = m_serving.begin(service, hash, now);
+        auto ticket = m_servingTable.begin(service, hash, now);
         if (!ticket) {
             return nullptr;
         }
-        return std::make_unique<serving_lease_ticket>(m_serving, *std::move(ticket));
+        return std::make_unique<serving_lease_ticket>(m_servingTable, *std::move(ticket));
     };
     hooks.candidates = [](const fleet_view &view, std::string_view service, uint64_t hash,
                           std::string_view hintedHolder) {
@@ -75,18 +77,19 @@
         return members;
     };
     hooks.pickInstance = [this](const fleet_view &, std::string_view service,
-                                const std::vector<instance_id> &tried,
-                                steady_time now) { return m_instances.pick(service, tried, now); };
+                                const std::vector<instance_id> &tried, steady_time now) {
+        return m_instanceDirectory.pick(service, tried, now);
+    };
     hooks.attemptEnded = [this](std::string_view service, const member_record &member,
                                 request_outcome outcome, std::string_view reason,
-                                std::chrono::nanoseconds took, steady_time now) {
-        m_instances.finish(service, member.id, outcome, reason, took, now);
+                                std::chrono::nanoseconds duration, steady_time now) {
+        m_instanceDirectory.finish(service, member.id, outcome, reason, duration, now);
     };
     hooks.retryBudget = [this](bool isRetry, steady_time now) {
         if (isRetry) {
-            return m_retries.tryRetry(now);
+            return m_retryBudget.tryRetry(now);
         }
-        m_retries.recordFirstAttempt(now);
+        m_retryBudget.recordFirstAttempt(now);
         return true;
     };
     hooks.admit = [this](const admission_request &request, steady_time now) {
@@ -102,7 +105,7 @@
         endAtMostOnce(service, idempotencyKey, outcome, response);
     };
     hooks.quarantine = &m_quarantine;
-    hooks.refusesNewWork = [this](steady_time now) { return refusesNewWork(now); };
+    hooks.refusesNewWork = [this](steady_time now) { return rejectsNewWork(now); };
     return hooks;
 }
 
@@ -114,7 +117,7 @@
         source.slots = status.announcement->slots;
         source.bootId = status.announcement->bootId;
     }
-    if (const auto view = m_sync ? m_sync->view() : nullptr) {
+    if (const auto view = m_syncDriver ? m_syncDriver->view() : nullptr) {
         const auto document = view->documents.find(m_settings.service);
         source.document = document == view->documents.end() ? nullptr : document->second;
     }
@@ -126,17 +129,18 @@
                                                     const lease_ticket &ticket, steady_time now)
 {
     const auto key = parseIdempotencyKey(idempotencyKey);
-    const auto since = m_serving.servingSince(ticket.partition(), ticket.term());
-    if (!key.ok() || !since) {
-        at_most_once_verdict refusal;
-        refusal.what = at_most_once_verdict::action::Refuse;
-        refusal.outcome = request_outcome::NotRun;
-        refusal.reason = key.ok() ? "not-owner" : "invalid-idempotency-key";
-        return refusal;
+    const auto servingSince = m_servingTable.servingSince(ticket.partition(), ticket.term());
+    if (!key.ok() || !servingSince) {
+        at_most_once_verdict rejection;
+        rejection.what = at_most_once_verdict::action::Refuse;
+        rejection.outcome = request_outcome::NotRun;
+        rejection.reason = key.ok() ? "not-owner" : "invalid-idempotency-key";
+        return rejection;
     }
     const wall_time wallNow = std::chrono::system_clock::now();
-    const auto tenure = std::chrono::duration_cast<wall_time::duration>(now - *since);
-    return m_atMostOnce.begin(service, *key, wallNow - tenure, wallNow);
+    const auto servingDuration =
+        std::chrono::duration_cast<wall_time::duration>(now - *servingSince);
+    return m_atMostOnce.begin(service, *key, wallNow - servingDuration, wallNow);
 }
 
 void daemon::state::endAtMostOnce(std::string_view service, std::string_view idempotencyKey,
@@ -154,7 +158,8 @@
     admin_hooks hooks;
     hooks.announce = [this](const upstream_announcement &announcement) {
         if (announcement.service != m_settings.service) {
-            return absl::FailedPreconditionError("the daemon is set up for another service");
+            return absl::FailedPreconditionError(
+                "the announced service is not the service of this daemon");
         }
         return m_upstreamClient.announce(announcement, std::chrono::steady_clock::now());
     };
@@ -173,8 +178,8 @@
     m_metrics.addGauge("persimmonrail_ready", [this] { return notReadyReason().empty() ? 1 : 0; });
     m_metrics.addGauge("persimmonrail_admission_limit", [this] { return m_admission.limit(); });
     m_metrics.addGauge("persimmonrail_admission_running", [this] { return m_admission.running(); });
-    m_metrics.addGauge("persimmonrail_relay", [this] { return m_sync->isRelay() ? 1 : 0; });
-    m_metrics.addGauge("persimmonrail_state_revision", [this] { return m_sync->revision(); });
+    m_metrics.addGauge("persimmonrail_relay", [this] { return m_syncDriver->isRelay() ? 1 : 0; });
+    m_metrics.addGauge("persimmonrail_state_revision", [this] { return m_syncDriver->revision(); });
     m_metrics.addGauge("persimmonrail_control_sent_bytes",
                        [this] { return m_messenger->traffic().bytesSent.load(); });
     m_metrics.addGauge("persimmonrail_control_received_bytes",
@@ -184,8 +189,10 @@
     m_metrics.addGauge("persimmonrail_control_received_messages",
                        [this] { return m_messenger->traffic().messagesReceived.load(); });
     m_metrics.addGauge("persimmonrail_quarantine_entries", [this] { return m_quarantine.size(); });
-    m_metrics.addGauge("persimmonrail_platform_reads", [this] { return m_platform->reads(); });
-    m_metrics.addGauge("persimmonrail_platform_writes", [this] { return m_platform->writes(); });
+    m_metrics.addGauge("persimmonrail_platform_reads",
+                       [this] { return m_platformWorker->readCount(); });
+    m_metrics.addGauge("persimmonrail_platform_writes",
+                       [this] { return m_platformWorker->writeCount(); });
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/daemon/grant_pusher.h
+++ b/src/persimmonrail/daemon/grant_pusher.h
@@ -9,23 +9,28 @@
 
 namespace persimmonrail {
 
-// Passes lease grants to the upstream on a thread of its own, since the calls block.
+// Sends lease grants to the local upstream. The calls block, so they run on a dedicated thread.
+//
+// Not thread safe; used on the control thread.
 class grant_pusher
 {
 public:
     // The references must outlive the pusher.
     grant_pusher(upstream_client &upstreamClient, control_loop &loop);
 
-    // Called on the control thread, as is the completion. Errors: those of
-    // upstream_client::pushGrants; ResourceExhausted if earlier grants are still being passed.
-    void apply(std::vector<lease_grant> grants, ownership_hooks::grant_completion done);
+    // Enqueues the grants and returns at once. `done` is called on the control thread: with OK and
+    // without a call if the upstream doesn't check grants, otherwise with the result of the call.
+    //
+    // Errors: those of upstream_client::pushGrants(); ResourceExhausted if too many earlier calls
+    // are pending.
+    void enqueue(std::vector<lease_grant> grants, ownership_hooks::grant_completion done);
 
 private:
-    absl::Status push(const std::vector<lease_grant> &grants);
+    absl::Status sendToUpstream(const std::vector<lease_grant> &grants);
 
     upstream_client &m_upstreamClient;
     control_loop &m_loop;
-    // Declared last: its thread uses the members above until it has ended.
+    // Must be the last member: its thread uses the members above until the worker is destroyed.
     background_worker m_worker;
 };
 
--- a/src/persimmonrail/daemon/instance_directory.cpp
+++ b/src/persimmonrail/daemon/instance_directory.cpp
@@ -5,15 +5,15 @@
 namespace persimmonrail {
 namespace {
 
-// Reason of an attempt on an instance whose daemon could not be reached.
+// Reason of an attempt that failed because the daemon of the instance refused the connection.
 constexpr std::string_view refusedConnectionReason = "peer-refused-connection";
 
 } // namespace
 
 instance_directory::instance_directory(std::string availabilityZone,
-                                       std::function<random_source()> makeRandom)
+                                       std::function<random_source()> makeRandomSource)
     : m_availabilityZone(std::move(availabilityZone))
-    , m_makeRandom(std::move(makeRandom))
+    , m_makeRandomSource(std::move(makeRandomSource))
 { }
 
 void instance_directory::setView(const fleet_view &view, steady_time now)
@@ -31,7 +31,7 @@
     for (const auto &[service, members] : byService) {
         auto &picker = m_pickers[service];
         if (picker == nullptr) {
-            picker = std::make_shared<instance_picker>(m_availabilityZone, m_makeRandom());
+            picker = std::make_shared<instance_picker>(m_availabilityZone, m_makeRandomSource());
         }
         picker->setInstances(members, now);
     }
@@ -41,7 +41,7 @@
                                                       const std::vector<instance_id> &tried,
                                                       steady_time now)
 {
-    const auto picker = find(service);
+    const auto picker = findPicker(service);
     return picker == nullptr ? std::nullopt : picker->pick(tried, now);
 }
 
@@ -49,7 +49,7 @@
                                 request_outcome outcome, std::string_view reason,
                                 std::chrono::nanoseconds latency, steady_time now)
 {
-    const auto picker = find(service);
+    const auto picker = findPicker(service);
     if (picker == nullptr) {
         return;
     }
@@ -63,7 +63,7 @@
                    now);
 }
 
-std::shared_ptr<instance_picker> instance_directory::find(std::string_view service) const
+std::shared_ptr<instance_picker> instance_directory::findPicker(std::string_view service) const
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_pickers.find(service);
--- a/src/persimmonrail/daemon/platform_worker.cpp
+++ b/src/persimmonrail/daemon/platform_worker.cpp
@@ -11,7 +11,7 @@
                           const std::string &value, write_completion done)
 {
     m_worker.enqueue([this, key, expectedVersion, value, done = std::move(done)] {
-        ++m_writes;
+        ++m_writeCount;
         auto version = m_api.put(key, expectedVersion, value);
         m_loop.post([done, version = std::move(version)](steady_time now) { done(version, now); });
     });
@@ -21,7 +21,7 @@
                              write_completion done)
 {
     m_worker.enqueue([this, key, expectedVersion, done = std::move(done)] {
-        ++m_writes;
+        ++m_writeCount;
         auto version = m_api.remove(key, expectedVersion);
         m_loop.post([done, version = std::move(version)](steady_time now) { done(version, now); });
     });
@@ -30,7 +30,7 @@
 void platform_worker::get(const std::string &key, read_completion done)
 {
     m_worker.enqueue([this, key, done = std::move(done)] {
-        ++m_reads;
+        ++m_readCount;
         auto object = m_api.get(key);
         m_loop.post([done, object = std::move(object)](steady_time now) { done(object, now); });
     });
--- a/src/persimmonrail/daemon/platform_worker.h
+++ b/src/persimmonrail/daemon/platform_worker.h
@@ -9,8 +9,8 @@
 
 namespace persimmonrail {
 
-// Runs the blocking calls of the platform's object API away from the control thread, one after
-// the other, and posts the results back to it.
+// Runs the blocking calls of the platform's object API on a dedicated thread, one after the other,
+// and posts their results to the control thread.
 class platform_worker
 {
 public:
@@ -23,21 +23,24 @@
     platform_worker(const platform_worker &) = delete;
     platform_worker &operator=(const platform_worker &) = delete;
 
-    // Called on the control thread, as are the completions.
+    // Enqueue a conditional write, a conditional deletion or a read, and return at once.
+    // Must be called on the control thread, which also runs `done` with the result. The errors are
+    // those of object_api.
     void put(const std::string &key, uint64_t expectedVersion, const std::string &value,
              write_completion done);
     void remove(const std::string &key, uint64_t expectedVersion, write_completion done);
     void get(const std::string &key, read_completion done);
 
-    uint64_t reads() const { return m_reads; }
-    uint64_t writes() const { return m_writes; }
+    // Numbers of calls made since the start. Thread safe.
+    uint64_t readCount() const { return m_readCount; }
+    uint64_t writeCount() const { return m_writeCount; }
 
 private:
     object_api m_api;
     control_loop &m_loop;
-    std::atomic<uint64_t> m_reads{0};
-    std::atomic<uint64_t> m_writes{0};
-    // Declared last: its thread uses the members above until it has ended.
+    std::atomic<uint64_t> m_readCount{0};
+    std::atomic<uint64_t> m_writeCount{0};
+    // Must be the last member: its thread uses the members above until the worker is destroyed.
     background_worker m_worker;
 };
 
--- a/src/persimmonrail/daemon/quarantine_gossip.cpp
+++ b/src/persimmonrail/daemon/quarantine_gossip.cpp
@@ -5,14 +5,15 @@
 namespace persimmonrail {
 namespace {
 
-// Larger ages are clamped, so that they fit the signed type of durations.
-constexpr uint64_t maxAgeMs = 24ULL * 3600 * 1000;
+// Ages from peers are clamped to this value, so that they fit the signed type of durations.
+constexpr uint64_t maxEntryAgeMs = 24ULL * 3600 * 1000;
 
 } // namespace
 
-void addQuarantine(const crash_quarantine &quarantine, steady_time now, wire::PullReply &reply)
+void addQuarantineEntries(const crash_quarantine &quarantine, steady_time now,
+                          wire::PullReply &reply)
 {
-    for (const auto &entry : quarantine.entries(maxGossipedEntries, now)) {
+    for (const auto &entry : quarantine.entries(maxQuarantineEntriesPerReply, now)) {
         auto &added = *reply.add_quarantine();
         added.set_fingerprint(entry.fingerprint);
         added.set_strikes(entry.strikes);
@@ -23,11 +24,11 @@
 std::vector<crash_quarantine::entry> quarantineFromWire(const wire::PullReply &reply)
 {
     std::vector<crash_quarantine::entry> entries;
-    const int count = std::min(reply.quarantine_size(), maxGossipedEntries);
+    const int count = std::min(reply.quarantine_size(), maxQuarantineEntriesPerReply);
     for (int i = 0; i < count; ++i) {
         const auto &received = reply.quarantine(i);
         entries.push_back({received.fingerprint(), received.strikes(),
-                           milliseconds(std::min(received.age_ms(), maxAgeMs))});
+                           milliseconds(std::min(received.age_ms(), maxEntryAgeMs))});
     }
     return entries;
 }
--- a/src/persimmonrail/daemon/quarantine_gossip.h
+++ b/src/persimmonrail/daemon/quarantine_gossip.h
@@ -8,12 +8,15 @@
 
 namespace persimmonrail {
 
-// Entries in one answer; 64 of them take about 1.2 KB.
-inline constexpr int maxGossipedEntries = 64;
+// Maximum number of quarantine entries in one pull reply. 64 entries take about 1.2 KB.
+inline constexpr int maxQuarantineEntriesPerReply = 64;
 
-// Adds the entries of this daemon to an answer.
-void addQuarantine(const crash_quarantine &quarantine, steady_time now, wire::PullReply &reply);
-// Returns the first maxGossipedEntries entries of an answer.
+// Appends the entries of `quarantine` to a pull reply: at most maxQuarantineEntriesPerReply, those
+// with the most strikes first.
+void addQuarantineEntries(const crash_quarantine &quarantine, steady_time now,
+                          wire::PullReply &reply);
+// Returns the quarantine entries of a pull reply, at most the first maxQuarantineEntriesPerReply.
+// Ages are limited to 24 hours.
 std::vector<crash_quarantine::entry> quarantineFromWire(const wire::PullReply &reply);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/daemon/serving_lease_ticket.h
+++ b/src/persimmonrail/daemon/serving_lease_ticket.h
@@ -7,7 +7,7 @@
 
 namespace persimmonrail {
 
-// A ticket of the serving table in the form in which the gateway takes it.
+// Adapts a ticket of the serving table to the gateway's lease_ticket interface.
 class serving_lease_ticket : public lease_ticket
 {
 public:
@@ -19,6 +19,8 @@
 
     const std::string &partition() const override { return m_ticket.lease().partition; }
     uint64_t term() const override { return m_ticket.lease().term; }
+    // Returns the current end of the lease, which renewals extend; the epoch of the steady clock,
+    // which is in the past, once the partition is no longer served under this term.
     steady_time leaseEnd() const override
     {
         return m_table.leaseEnd(partition(), term()).value_or(steady_time());
--- a/src/persimmonrail/daemon/sync_driver.cpp
+++ b/src/persimmonrail/daemon/sync_driver.cpp
@@ -8,7 +8,8 @@
 namespace persimmonrail {
 namespace {
 
-// A peer answers within a few milliseconds; a region boundary adds some tens.
+// A peer replies within a few milliseconds; a peer in another region takes some tens of
+// milliseconds longer.
 constexpr milliseconds pullTimeout{1000};
 constexpr milliseconds pingTimeout{1000};
 
@@ -33,35 +34,35 @@
     , m_messenger(messenger)
     , m_log(log)
     , m_onView(std::move(onView))
-    , m_takePullReply(options.onPullReply)
-    , m_store({parseAccepted,
-               [this](const stored_object &object, const absl::Status &status) {
-                   m_log.write(log_level::Error,
-                               absl::StrCat("ignoring object ", object.key, " version ",
-                                            object.version, ": ", std::string(status.message())));
-               }})
+    , m_onPullReply(options.onPullReply)
+    , m_replica({parseAccepted,
+                 [this](const stored_object &object, const absl::Status &status) {
+                     m_log.write(log_level::Error,
+                                 absl::StrCat("ignoring invalid object ", object.key, " version ",
+                                              object.version, ": ", std::string(status.message())));
+                 }})
     , m_schedule(options.self, options.seeds, options.random)
     , m_readiness(options.self.instance)
     , m_election(options.self.instance, options.self.availabilityZone, now, options.random)
-    , m_view(m_store.buildView())
-    , m_watch(options.platform, watchHooks())
+    , m_view(m_replica.buildView())
+    , m_watch(options.platform, makeWatchHooks())
 { }
 
-relay_watch::hooks sync_driver::watchHooks()
+relay_watch::hooks sync_driver::makeWatchHooks()
 {
     relay_watch::hooks hooks;
     hooks.listed = [this](const object_list &list) {
         m_loop.post([this, list](steady_time now) {
-            m_store.applyList(list, now);
+            m_replica.applyList(list, now);
             m_readiness.notePlatformRead(list.revision);
-            publish(now);
+            publishView(now);
         });
     };
-    hooks.changed = [this](uint64_t since, const object_list &changes) {
-        m_loop.post([this, since, changes](steady_time now) {
-            m_store.applyWatch(since, changes, now);
+    hooks.changed = [this](uint64_t sinceRevision, const object_list &changes) {
+        m_loop.post([this, sinceRevision, changes](steady_time now) {
+            m_replica.applyWatch(sinceRevision, changes, now);
             m_readiness.notePlatformRead(changes.revision);
-            publish(now);
+            publishView(now);
         });
     };
     hooks.failed = [this](const absl::Status &status, milliseconds delay) {
@@ -70,7 +71,7 @@
                                  "; next attempt in ", delay.count(), " ms"));
     };
     hooks.random = [seed = generateIncarnation()]() mutable {
-        // SplitMix64; the watch needs it for jitter only.
+        // SplitMix64 is sufficient, because the watch uses random numbers only for jitter.
         seed += 0x9e3779b97f4a7c15ULL;
         uint64_t value = seed;
         value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -82,39 +83,39 @@
 
 void sync_driver::pull(steady_time now)
 {
-    const auto target = m_schedule.next(*view());
-    if (!target) {
-        publish(now);
+    const auto peer = m_schedule.next(*view());
+    if (!peer) {
+        publishView(now);
         return;
     }
-    pullFrom(target->controlAddress);
+    pullFrom(peer->controlAddress);
 }
 
 void sync_driver::pullFrom(const std::string &controlAddress)
 {
     wire::Request request;
-    *request.mutable_pull() = m_store.nextPull();
-    const uint64_t after = request.pull().after_revision();
-    m_messenger.send(
-        controlAddress, std::move(request), pullTimeout,
-        [this, controlAddress, after](const absl::StatusOr<wire::Reply> &reply, steady_time later) {
-            if (reply.ok() && reply->has_pull()) {
-                onPullReply(controlAddress, after, *reply, later);
-            }
-        });
+    *request.mutable_pull() = m_replica.nextPull();
+    const uint64_t afterRevision = request.pull().after_revision();
+    m_messenger.send(controlAddress, std::move(request), pullTimeout,
+                     [this, controlAddress, afterRevision](const absl::StatusOr<wire::Reply> &reply,
+                                                           steady_time receivedAt) {
+                         if (reply.ok() && reply->has_pull()) {
+                             onPullReply(controlAddress, afterRevision, *reply, receivedAt);
+                         }
+                     });
 }
 
 void sync_driver::onPullReply(const std::string &controlAddress, uint64_t afterRevision,
                               const wire::Reply &reply, steady_time now)
 {
-    if (m_takePullReply) {
-        m_takePullReply(reply.pull(), now);
+    if (m_onPullReply) {
+        m_onPullReply(reply.pull(), now);
     }
     m_readiness.notePull(fromWire(reply.sender()), reply.pull());
-    const bool applied = m_store.applyPull(afterRevision, reply.pull(), now);
-    publish(now);
-    // The rest of an answer that was cut follows at once, so that a daemon far behind catches up in
-    // one interval.
+    const bool applied = m_replica.applyPull(afterRevision, reply.pull(), now);
+    publishView(now);
+    // If the reply did not contain all changes, the next pull follows at once, so that a daemon
+    // that is far behind catches up within one interval.
     if (applied && reply.pull().complete_to() < reply.pull().revision()) {
         pullFrom(controlAddress);
     }
@@ -127,29 +128,30 @@
         request.mutable_ping();
         m_messenger.send(member.controlAddress, std::move(request), pingTimeout,
                          [this, name = member.id.name](const absl::StatusOr<wire::Reply> &reply,
-                                                       steady_time later) {
+                                                       steady_time receivedAt) {
                              if (reply.ok()) {
-                                 m_election.recordResponse(name, later);
+                                 m_election.recordResponse(name, receivedAt);
                              }
                          });
     }
-    // Until it is ready, a daemon also reads the platform itself, from the state that it pulled.
-    const bool catchesUp = !m_ready && m_store.revision() > 0;
-    const bool wanted = m_election.isRelay(now) || catchesUp;
-    if (wanted && !m_watch.isActive()) {
+    // A daemon that is not ready also watches the platform itself, from the revision that it has
+    // pulled.
+    const bool isCatchingUp = !m_isReady && m_replica.revision() > 0;
+    const bool shouldWatch = m_election.isRelay(now) || isCatchingUp;
+    if (shouldWatch && !m_watch.isActive()) {
         m_log.write(log_level::Info,
-                    absl::StrCat("watching the platform from revision ", m_store.revision()));
-        m_watch.activate(m_store.revision());
-    } else if (!wanted && m_watch.isActive()) {
+                    absl::StrCat("watching the platform from revision ", m_replica.revision()));
+        m_watch.activate(m_replica.revision());
+    } else if (!shouldWatch && m_watch.isActive()) {
         m_log.write(log_level::Info, "no longer watching the platform");
         m_watch.deactivate();
     }
-    m_store.expireTombstones(now);
+    m_replica.expireTombstones(now);
 }
 
-wire::PullReply sync_driver::respondToPull(const wire::Pull &pull, const instance_id &asking)
+wire::PullReply sync_driver::respondToPull(const wire::Pull &pull, const instance_id &requester)
 {
-    return m_store.respondToPull(pull, asking);
+    return m_replica.respondToPull(pull, requester);
 }
 
 std::shared_ptr<const fleet_view> sync_driver::view() const
@@ -158,34 +160,35 @@
     return m_view;
 }
 
-void sync_driver::publish(steady_time now)
+void sync_driver::publishView(steady_time now)
 {
-    m_publishedRevision = m_store.revision();
-    auto next = m_store.buildView();
-    const bool changed = next != view();
-    if (changed) {
+    m_publishedRevision = m_replica.revision();
+    auto nextView = m_replica.buildView();
+    const bool hasChanged = nextView != view();
+    if (hasChanged) {
         const std::lock_guard lock(m_viewMutex);
-        m_view = next;
+        m_view = nextView;
     }
-    if (changed) {
-        m_election.setView(*next, now);
+    if (hasChanged) {
+        m_election.setView(*nextView, now);
     }
-    // A view that was held back until the daemon is ready is passed on then, changed or not.
-    if (updateReadiness() || changed) {
-        m_onView(next, now);
+    // When the daemon becomes ready, the listener receives the view even if it has not changed,
+    // because the listener uses parts of a view only in a ready daemon.
+    if (updateReadiness() || hasChanged) {
+        m_onView(nextView, now);
     }
 }
 
 bool sync_driver::updateReadiness()
 {
-    if (m_ready || !m_readiness.evaluate(m_store.revision(), *view())) {
+    if (m_isReady || !m_readiness.evaluate(m_replica.revision(), *view())) {
         return false;
     }
-    m_ready = true;
-    m_store.markReady();
-    m_log.write(
-        log_level::Info,
-        absl::StrCat("state complete at revision ", m_store.revision(), "; ready to serve"));
+    m_isReady = true;
+    m_replica.markReady();
+    m_log.write(log_level::Info,
+                absl::StrCat("fleet state is complete at revision ", m_replica.revision(),
+                             "; the daemon is ready to serve"));
     return true;
 }
 
--- a/src/persimmonrail/daemon/tests/control_loop_test.cpp
+++ b/src/persimmonrail/daemon/tests/control_loop_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace persimmonrail;
 
-// Guards against control state that is touched out of order.
+// Guards against tasks that change control state in the wrong order.
 TEST_CASE("tasks run in the order in which they were posted", "[daemon]")
 {
     control_loop loop;
@@ -22,7 +22,7 @@
     }
 }
 
-// Guards against heartbeats that stop because other work keeps the loop busy.
+// Guards against heartbeats that stop because posted tasks keep the loop busy.
 TEST_CASE("periodic tasks run while tasks are being posted", "[daemon]")
 {
     control_loop loop;
@@ -41,8 +41,8 @@
     CHECK(runs >= 2);
 }
 
-// Guards against a caller that waits for ever on a loop that has ended.
-TEST_CASE("waiting on a stopped loop returns", "[daemon]")
+// Guards against a thread that waits forever for a task that a stopped loop never runs.
+TEST_CASE("postAndWait returns false on a stopped loop", "[daemon]")
 {
     control_loop loop;
     loop.start();
@@ -50,8 +50,9 @@
     CHECK_FALSE(loop.postAndWait([](steady_time) {}));
 }
 
-// Guards against platform results that are handled outside the control thread or lose their status.
-TEST_CASE("platform results come back on the control thread", "[daemon]")
+// Guards against results of the platform that are handled outside the control thread, or whose
+// status is lost.
+TEST_CASE("platform results are delivered on the control thread", "[daemon]")
 {
     object_api api;
     api.put = [](const std::string &, uint64_t expected,
@@ -76,5 +77,5 @@
         const auto version = result.get_future().get();
         CHECK(version.ok() == (expected == 0));
     }
-    CHECK(worker.writes() == 2);
+    CHECK(worker.writeCount() == 2);
 }
--- a/src/persimmonrail/daemon/tests/crash_quarantine_test.cpp
+++ b/src/persimmonrail/daemon/tests/crash_quarantine_test.cpp
@@ -1,32 +1,32 @@
+#include "daemon_fixture.h"
 #include "persimmonrail/daemon/quarantine_gossip.h"
-#include "single_daemon.h"
 
 #include <catch2/catch.hpp>
 
 using namespace persimmonrail;
 
-// Guards against a resent request that crashes the upstream again and again, from the caller's
-// connection to the announcement of the restarted upstream.
-TEST_CASE("a daemon refuses a request that crashed its upstream twice", "[daemon]")
+// Guards against a request that crashes the upstream each time the caller resends it. Covers the
+// whole path, from the caller's connection to the announcement of the restarted upstream.
+TEST_CASE("a daemon rejects a request that crashed its upstream twice", "[daemon]")
 {
-    single_daemon fleet;
-    const std::vector<std::pair<std::string, std::string>> marked{{"X-Crash", "1"}};
+    daemon_fixture fixture;
+    const std::vector<std::pair<std::string, std::string>> crashHeader{{"X-Crash", "1"}};
     const auto send = [&](const std::string &body, const std::string &bootId) {
-        return fleet.call("PUT", "/photos/records/k", body, bootId, marked).body;
+        return fixture.sendRequest("PUT", "/photos/records/k", body, bootId, crashHeader).body;
     };
     CHECK(send("bad", "first").find("unknown") != std::string::npos);
     CHECK(send("bad", "second").find("unknown") != std::string::npos);
-    const size_t runs = fleet.upstream->history().size();
-    // The second crash is known with the next announcement, which precedes the request.
+    const size_t requestsRun = fixture.upstream->history().size();
+    // The daemon learns of the second crash from the next announcement, which precedes the request.
     CHECK(send("bad", "third").find("quarantined") != std::string::npos);
-    CHECK(fleet.upstream->history().size() == runs);
-    CHECK(fleet.call("PUT", "/photos/records/k", "good", "third").status == 200);
-    CHECK(fleet.upstream->history().size() == runs + 1);
+    CHECK(fixture.upstream->history().size() == requestsRun);
+    CHECK(fixture.sendRequest("PUT", "/photos/records/k", "good", "third").status == 200);
+    CHECK(fixture.upstream->history().size() == requestsRun + 1);
 }
 
-// Guards against entries that don't reach other daemons, and against an answer that carries more
-// than the limit or ages that overflow.
-TEST_CASE("quarantine entries travel in pull answers", "[daemon]")
+// Guards against entries that don't reach other daemons, and against a reply with more entries than
+// the limit or with ages that overflow.
+TEST_CASE("pull replies carry quarantine entries", "[daemon]")
 {
     const steady_time now{std::chrono::hours(1)};
     crash_quarantine source;
@@ -34,20 +34,20 @@
         source.merge({{fingerprint, 24, milliseconds(1000)}}, now);
     }
     wire::PullReply reply;
-    addQuarantine(source, now, reply);
-    REQUIRE(reply.quarantine_size() == maxGossipedEntries);
+    addQuarantineEntries(source, now, reply);
+    REQUIRE(reply.quarantine_size() == maxQuarantineEntriesPerReply);
     crash_quarantine target;
     target.merge(quarantineFromWire(reply), now);
-    CHECK(target.size() == maxGossipedEntries);
-    CHECK(target.entries(100, now) == source.entries(maxGossipedEntries, now));
+    CHECK(target.size() == maxQuarantineEntriesPerReply);
+    CHECK(target.entries(100, now) == source.entries(maxQuarantineEntriesPerReply, now));
     CHECK(target.refusedFor(reply.quarantine(0).fingerprint(), now) == milliseconds(599'000));
 
-    wire::PullReply hostile;
-    hostile.add_quarantine()->set_age_ms(UINT64_MAX);
+    wire::PullReply oversizedReply;
+    oversizedReply.add_quarantine()->set_age_ms(UINT64_MAX);
     for (int i = 0; i < 1000; ++i) {
-        hostile.add_quarantine()->set_strikes(UINT32_MAX);
+        oversizedReply.add_quarantine()->set_strikes(UINT32_MAX);
     }
-    CHECK(quarantineFromWire(hostile).size() == maxGossipedEntries);
-    target.merge(quarantineFromWire(hostile), now);
-    CHECK(target.size() == maxGossipedEntries + 1);
+    CHECK(quarantineFromWire(oversizedReply).size() == maxQuarantineEntriesPerReply);
+    target.merge(quarantineFromWire(oversizedReply), now);
+    CHECK(target.size() == maxQuarantineEntriesPerReply + 1);
 }
--- a/src/persimmonrail/daemon/tests/single_daemon.cpp
+++ b/src/persimmonrail/daemon/tests/daemon_fixture.cpp
@@ -1,4 +1,4 @@
-#include "single_daemon.h"
+#include "daemon_fixture.h"
 
 #include "persimmonrail/base/header_names.h"
 #include "persimmonrail/objects/http_object_api.h"
@@ -13,7 +13,7 @@
 namespace persimmonrail {
 namespace {
 
-constexpr std::chrono::minutes generous{1};
+constexpr std::chrono::minutes testTimeout{1};
 constexpr char document[] = R"({
   "service": "photos",
   "ranks": [{"name": "urgent", "target_ms": 50, "worth": 1, "floor": 0.5}],
@@ -46,14 +46,14 @@
 
 void waitFor(const std::function<bool()> &condition)
 {
-    const auto deadline = std::chrono::steady_clock::now() + generous;
+    const auto deadline = std::chrono::steady_clock::now() + testTimeout;
     while (!condition()) {
         REQUIRE(std::chrono::steady_clock::now() < deadline);
         std::this_thread::sleep_for(milliseconds(5));
     }
 }
 
-single_daemon::single_daemon(const std::function<void(daemon_settings &)> &change)
+daemon_fixture::daemon_fixture(const std::function<void(daemon_settings &)> &configure)
 {
     settings.instance = "photos-0";
     settings.region = "region";
@@ -65,10 +65,10 @@
     }
     settings.platformAddress = platform.address();
     settings.logLevel = "error";
-    if (change) {
-        change(settings);
+    if (configure) {
+        configure(settings);
     }
-    auto api = makeHttpObjectApi(platform.address(), generous);
+    auto api = makeHttpObjectApi(platform.address(), testTimeout);
     REQUIRE(api.put("config/photos", 0, document).ok());
     upstream_standin_options options;
     options.service = "photos";
@@ -76,29 +76,31 @@
     options.checksGrants = false;
     upstream = *upstream_standin::start(options);
     upstream->setCrash([] {});
-    running = *daemon::start(settings);
+    runningDaemon = *daemon::start(settings);
     waitFor([&] {
         announce("first");
         return api.get("accepted/photos").ok();
     });
 }
 
-void single_daemon::announce(const std::string &bootId, bool draining)
+void daemon_fixture::announce(const std::string &bootId, bool draining)
 {
     auto announcement = upstream->announcement();
     announcement.bootId = bootId;
     announcement.draining = draining;
-    REQUIRE(admin("POST", "/v1/announce", encodeAnnouncement(announcement)).status / 100 == 2);
+    REQUIRE(sendAdminRequest("POST", "/v1/announce", encodeAnnouncement(announcement)).status / 100
+            == 2);
 }
 
-simple_response single_daemon::call(const std::string &method, const std::string &uri,
-                                    const std::string &body, const std::string &bootId,
-                                    const std::vector<std::pair<std::string, std::string>> &fields)
+simple_response
+daemon_fixture::sendRequest(const std::string &method, const std::string &uri,
+                            const std::string &body, const std::string &bootId,
+                            const std::vector<std::pair<std::string, std::string>> &fields)
 {
     simple_response response;
     waitFor([&] {
         announce(bootId);
-        response = send(running->callerAddress(), method, uri, body, fields);
+        response = send(runningDaemon->callerAddress(), method, uri, body, fields);
         for (const char *reason : {"unknown-service", "no-instance", "upstream-down"}) {
             if (response.body.find(reason) != std::string::npos) {
                 return false;
@@ -109,16 +111,17 @@
     return response;
 }
 
-simple_response single_daemon::forward(const std::string &method, const std::string &uri)
+simple_response daemon_fixture::sendForwardedRequest(const std::string &method,
+                                                     const std::string &uri)
 {
-    return send(running->peerAddress(), method, uri, "",
+    return send(runningDaemon->peerAddress(), method, uri, "",
                 {{requestIdHeader, "forwarded"}, {deadlineHeader, "30000"}});
 }
 
-simple_response single_daemon::admin(const std::string &method, const std::string &uri,
-                                     const std::string &body)
+simple_response daemon_fixture::sendAdminRequest(const std::string &method, const std::string &uri,
+                                                 const std::string &body)
 {
-    return send(running->adminAddress(), method, uri, body, {});
+    return send(runningDaemon->adminAddress(), method, uri, body, {});
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/daemon/tests/graceful_shutdown_test.cpp
+++ b/src/persimmonrail/daemon/tests/graceful_shutdown_test.cpp
@@ -1,4 +1,4 @@
-#include "single_daemon.h"
+#include "daemon_fixture.h"
 #include "standins/scripted_server.h"
 
 #include <catch2/catch.hpp>
@@ -8,33 +8,34 @@
 using namespace persimmonrail;
 using std::chrono::seconds;
 
-// Guards P6 and P7: a stopping daemon hands nothing to its upstream after 3 s, and does not
-// interrupt a request that takes longer.
-TEST_CASE("a stopping daemon refuses new work and completes what is in flight", "[daemon]")
+// Guards requirements P6 and P7: a daemon that is stopping dispatches no requests to its upstream
+// after 3 s, and does not interrupt a request in flight that takes longer.
+TEST_CASE("a stopping daemon rejects new requests and completes requests in flight", "[daemon]")
 {
-    single_daemon fleet;
-    REQUIRE(fleet.call("PUT", "/photos/records/k", "k", "first").status == 200);
-    Poco::Net::StreamSocket slow{Poco::Net::SocketAddress(fleet.running->callerAddress())};
-    sendText(slow,
+    daemon_fixture fixture;
+    REQUIRE(fixture.sendRequest("PUT", "/photos/records/k", "k", "first").status == 200);
+    Poco::Net::StreamSocket slowCaller{
+        Poco::Net::SocketAddress(fixture.runningDaemon->callerAddress())};
+    sendText(slowCaller,
              "PUT /photos/records/s HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
              "Connection: close\r\n\r\n");
     waitFor([&] {
-        fleet.announce("first");
-        return fleet.upstream->running() == 1;
+        fixture.announce("first");
+        return fixture.upstream->running() == 1;
     });
-    const auto begun = std::chrono::steady_clock::now();
-    auto stopped = std::async(std::launch::async, [&] { return fleet.running->stop(); });
+    const auto stopStartedAt = std::chrono::steady_clock::now();
+    auto stopResult = std::async(std::launch::async, [&] { return fixture.runningDaemon->stop(); });
     simple_response response;
     waitFor([&] {
-        fleet.announce("first");
-        response = fleet.forward("GET", "/photos/records/k");
+        fixture.announce("first");
+        response = fixture.sendForwardedRequest("GET", "/photos/records/k");
         return response.status != 200;
     });
-    CHECK(std::chrono::steady_clock::now() - begun >= seconds(3));
+    CHECK(std::chrono::steady_clock::now() - stopStartedAt >= seconds(3));
     CHECK(response.status == 503);
     CHECK(response.body.find("not-run") != std::string::npos);
     CHECK(response.body.find("draining") != std::string::npos);
-    sendText(slow, "s");
-    CHECK(readToEnd(slow).starts_with("HTTP/1.1 200"));
-    CHECK(stopped.get());
+    sendText(slowCaller, "s");
+    CHECK(readToEnd(slowCaller).starts_with("HTTP/1.1 200"));
+    CHECK(stopResult.get());
 }
--- a/src/persimmonrail/daemon/tests/serving_lease_ticket_test.cpp
+++ b/src/persimmonrail/daemon/tests/serving_lease_ticket_test.cpp
@@ -5,9 +5,10 @@
 using namespace persimmonrail;
 using std::chrono::seconds;
 
-// Guards against refusing a request that waited for admission under a lease renewed meanwhile,
-// against cancelling one while its partition drains, and against going on under a lost lease.
-TEST_CASE("a ticket tells the present lease end", "[daemon]")
+// Guards against three failures: a request is rejected although its lease was renewed while the
+// request waited for admission; a request is cancelled although its lease is renewed while the
+// partition drains; a request continues after its lease was lost.
+TEST_CASE("a ticket returns the current end of the lease", "[daemon]")
 {
     const steady_time now{std::chrono::hours(1)};
     serving_table table;
--- a/src/persimmonraild/main.cpp
+++ b/src/persimmonraild/main.cpp
@@ -1,4 +1,4 @@
-// The daemon that runs beside one upstream.
+// persimmonraild: the daemon that runs beside one upstream.
 #include "persimmonrail/daemon/daemon.h"
 #include "persimmonrail/settings/daemon_settings.h"
 
@@ -11,7 +11,8 @@
 constexpr int exitFailed = 1;
 constexpr int exitUsage = 2;
 
-// Blocks the signals that end the daemon in this thread and in those it starts.
+// Blocks SIGTERM and SIGINT in this thread and the threads that it starts, and returns these
+// signals, so that they can be awaited with sigwait().
 sigset_t blockStopSignals()
 {
     sigset_t signals;
@@ -25,7 +26,8 @@
 int run(const persimmonrail::daemon_settings &settings)
 {
     const sigset_t stopSignals = blockStopSignals();
-    // A peer that closes its connection shows as an error of the write.
+    // A write to a connection that the peer has closed must fail with an error instead of ending
+    // the process.
     std::signal(SIGPIPE, SIG_IGN);
     const auto daemon = persimmonrail::daemon::start(settings);
     if (!daemon.ok()) {
