--- a/src/persimmonrail/document/document_acceptance.cpp
+++ b/src/persimmonrail/document/document_acceptance.cpp
@@ -18,27 +18,28 @@
 using Poco::JSON::Object;
 
 constexpr std::string_view configPrefix = "config/";
-constexpr int maxStoredDepth = 8;
+constexpr int maxStoredJsonDepth = 8;
 
-std::string toText(const Object &object)
+std::string toJson(const Object &object)
 {
     std::ostringstream out;
     object.stringify(out);
     return out.str();
 }
 
-absl::Status invalid(std::string_view what, const error_list &errors)
+// Returns an InvalidArgument status that lists `errors`.
+absl::Status invalidArgument(std::string_view description, const error_list &errors)
 {
     return absl::InvalidArgumentError(
-        absl::StrCat("invalid ", std::string(what), ": ", renderErrors(errors.errors())));
+        absl::StrCat("invalid ", std::string(description), ": ", renderErrors(errors.errors())));
 }
 
-std::optional<int64_t> readVersion(object_reader &reader)
+std::optional<int64_t> readSourceVersion(object_reader &reader)
 {
-    return reader.integer("source_version", 1, std::numeric_limits<int64_t>::max() - 1);
+    return reader.requiredInteger("source_version", 1, std::numeric_limits<int64_t>::max() - 1);
 }
 
-bool isSameKey(const std::optional<key_rule> &a, const std::optional<key_rule> &b)
+bool isSameKeyRule(const std::optional<key_rule> &a, const std::optional<key_rule> &b)
 {
     if (!a || !b) {
         return a.has_value() == b.has_value();
@@ -46,9 +47,11 @@
     return a->source == b->source && a->segment == b->segment && a->name == b->name;
 }
 
-// Rules that relate the new document to its storage key and to the accepted copy.
-std::vector<document_error> checkAgainst(const service_document &document, std::string_view service,
-                                         const std::optional<accepted_document> &current)
+// Returns the errors of a valid document with respect to the service of its object key and to the
+// accepted copy.
+std::vector<document_error> checkAgainstAccepted(const service_document &document,
+                                                 std::string_view service,
+                                                 const std::optional<accepted_document> &current)
 {
     std::vector<document_error> errors;
     if (document.service != service) {
@@ -59,24 +62,25 @@
     if (!current) {
         return errors;
     }
-    const auto inForce = parseServiceDocument(current->document);
-    if (!inForce.document) {
-        // A later release may have accepted a document that this one cannot read.
+    const auto acceptedDocument = parseServiceDocument(current->document);
+    if (!acceptedDocument.document) {
+        // A later release of the daemon may have accepted a document that this release cannot read.
         errors.push_back({"", "the accepted document cannot be read by this release"});
         return errors;
     }
-    if (!isSameKey(document.key, inForce.document->key)) {
+    if (!isSameKeyRule(document.key, acceptedDocument.document->key)) {
         errors.push_back({"key", "cannot change once accepted"});
     }
-    if (document.partitions != inForce.document->partitions) {
-        errors.push_back(
-            {"partitions",
-             absl::StrCat("cannot change once accepted, must be ", inForce.document->partitions)});
+    if (document.partitions != acceptedDocument.document->partitions) {
+        errors.push_back({"partitions",
+                          absl::StrCat("cannot change once accepted, must be ",
+                                       acceptedDocument.document->partitions)});
     }
     return errors;
 }
 
-// The accepted copy stems from this version already; only its status may be outstanding.
+// Handles a version that is not newer than the accepted one. If both versions are equal, only
+// the status is written, since its write may have failed.
 acceptance_decision restoreStatus(const stored_object &config,
                                   const std::optional<accepted_document> &current, wall_time now)
 {
@@ -114,22 +118,22 @@
     Object object;
     object.set("source_version", accepted.sourceVersion);
     object.set("document", accepted.document);
-    return toText(object);
+    return toJson(object);
 }
 
 absl::StatusOr<accepted_document> decodeAccepted(std::string_view text)
 {
     error_list errors;
-    const auto object = parseJsonObject(text, maxStoredDepth, errors);
+    const auto object = parseJsonObject(text, maxStoredJsonDepth, errors);
     if (object.isNull()) {
-        return invalid("accepted document", errors);
+        return invalidArgument("accepted document", errors);
     }
     object_reader reader(object, "", errors);
     accepted_document accepted;
-    accepted.sourceVersion = static_cast<uint64_t>(readVersion(reader).value_or(0));
-    accepted.document = reader.text("document").value_or("");
+    accepted.sourceVersion = static_cast<uint64_t>(readSourceVersion(reader).value_or(0));
+    accepted.document = reader.requiredString("document").value_or("");
     if (!errors.empty()) {
-        return invalid("accepted document", errors);
+        return invalidArgument("accepted document", errors);
     }
     return accepted;
 }
@@ -150,35 +154,35 @@
     object.set("state", std::string(toString(status.state)));
     object.set("decided_at_ms", static_cast<Poco::Int64>(sinceEpoch.count()));
     object.set("errors", errors);
-    return toText(object);
+    return toJson(object);
 }
 
 absl::StatusOr<document_status> decodeStatus(std::string_view text)
 {
-    error_list faults;
-    const auto object = parseJsonObject(text, maxStoredDepth, faults);
+    error_list decodeErrors;
+    const auto object = parseJsonObject(text, maxStoredJsonDepth, decodeErrors);
     if (object.isNull()) {
-        return invalid("document status", faults);
+        return invalidArgument("document status", decodeErrors);
     }
-    object_reader reader(object, "", faults);
+    object_reader reader(object, "", decodeErrors);
     document_status status;
-    status.sourceVersion = static_cast<uint64_t>(readVersion(reader).value_or(0));
-    const auto state = reader.text("state").value_or("");
+    status.sourceVersion = static_cast<uint64_t>(readSourceVersion(reader).value_or(0));
+    const auto state = reader.requiredString("state").value_or("");
     if (state != "accepted" && state != "rejected") {
-        reader.fail("state", "must be 'accepted' or 'rejected'");
+        reader.reportError("state", "must be 'accepted' or 'rejected'");
     }
     status.state = state == "accepted" ? document_state::Accepted : document_state::Rejected;
-    // The clock counts nanoseconds, so larger values would overflow.
+    // The clock counts nanoseconds in 64 bits, so larger values would overflow.
     constexpr int64_t maxDecidedAtMs = std::numeric_limits<int64_t>::max() / 1'000'000;
     status.decidedAt +=
-        milliseconds(reader.integer("decided_at_ms", 0, maxDecidedAtMs).value_or(0));
-    for (auto &entry : reader.objects("errors", false)) {
-        auto path = entry.text("path");
-        auto message = entry.text("message");
+        milliseconds(reader.requiredInteger("decided_at_ms", 0, maxDecidedAtMs).value_or(0));
+    for (auto &entry : reader.objectArray("errors", false)) {
+        auto path = entry.requiredString("path");
+        auto message = entry.requiredString("message");
         status.errors.push_back({path.value_or(""), message.value_or("")});
     }
-    if (!faults.empty()) {
-        return invalid("document status", faults);
+    if (!decodeErrors.empty()) {
+        return invalidArgument("document status", decodeErrors);
     }
     return status;
 }
@@ -190,9 +194,9 @@
 {
     now = std::chrono::floor<milliseconds>(now);
     acceptance_decision decision;
-    const bool isConfig = config.key.starts_with(configPrefix);
-    const bool isJudged = currentStatus && currentStatus->sourceVersion >= config.version;
-    if (!isConfig || config.deleted || config.version == 0 || isJudged) {
+    const bool isConfigKey = config.key.starts_with(configPrefix);
+    const bool hasStatus = currentStatus && currentStatus->sourceVersion >= config.version;
+    if (!isConfigKey || config.deleted || config.version == 0 || hasStatus) {
         return decision;
     }
     if (current && current->sourceVersion >= config.version) {
@@ -200,7 +204,7 @@
     }
     const auto service = std::string_view(config.key).substr(configPrefix.size());
     auto parsed = parseServiceDocument(config.value);
-    auto errors = parsed.document ? checkAgainst(*parsed.document, service, current)
+    auto errors = parsed.document ? checkAgainstAccepted(*parsed.document, service, current)
                                   : std::move(parsed.errors);
     if (!errors.empty()) {
         decision.status = {config.version, document_state::Rejected, now, std::move(errors)};
--- a/src/persimmonrail/document/document_parser.h
+++ b/src/persimmonrail/document/document_parser.h
@@ -9,46 +9,53 @@
 
 namespace persimmonrail {
 
-// Largest document in bytes.
+// Maximum size of a service document in bytes.
 inline constexpr size_t maxDocumentBytes = 256 * 1024;
-// Valid documents nest three levels; the bound keeps the parser's memory small.
+// Maximum nesting depth. Valid documents have three levels; the limit bounds the parser's memory.
 inline constexpr int maxDocumentDepth = 16;
+// Maximum number of hash ranges of one service.
 inline constexpr int maxPartitions = 65536;
-// The rest of the capacity is left to the ranks in order of urgency.
+// Maximum sum of the floors of all ranks. The remaining capacity is not reserved; the ranks use it
+// in order of urgency.
 inline constexpr double maxFloorSum = 0.95;
 inline constexpr milliseconds minOperationTimeout{1};
 inline constexpr milliseconds maxOperationTimeout{600'000};
 
-// Errors beyond this number are counted only.
+// Maximum number of errors that are listed. Further errors are only counted.
 inline constexpr size_t maxDocumentErrors = 200;
 
+// One violation found in a JSON document.
 struct document_error
 {
-    // Position in the document such as "operations[2].rank"; empty for the document as a whole.
+    // Path of the invalid field, such as "operations[2].rank". Empty if the error concerns the
+    // whole document.
     std::string path;
     std::string message;
 
     bool operator==(const document_error &) const = default;
 };
 
+// Result of parsing a service document.
 struct parsed_document
 {
-    // Present exactly if there are no errors.
+    // Set if and only if `errors` is empty.
     std::optional<service_document> document;
-    // Every error found, in the order of the checks; at most maxDocumentErrors, followed by one
-    // that counts the rest.
+    // Lists the errors in the order of the checks. Holds at most maxDocumentErrors errors; if there
+    // are more, one further element states how many are not listed.
     std::vector<document_error> errors;
 };
 
-// Parses and validates a service document as a whole. Text that is not JSON yields one error;
-// otherwise every violation is listed, unknown and repeated fields included. Long texts in errors
-// are cut and control characters escaped.
+// Parses and validates a service document. A text longer than maxDocumentBytes yields one error.
+// Malformed JSON ends the parse with an error. In all other cases the result lists every violation,
+// including unknown and repeated fields. Long texts in errors are truncated and control characters
+// are escaped.
 parsed_document parseServiceDocument(std::string_view json);
 
-// Returns one line per error, "path: message".
+// Returns one line per error in the form "path: message". The path of an error that concerns the
+// whole document is rendered as "document".
 std::string renderErrors(const std::vector<document_error> &errors);
 
-// Whether the text is a valid name: 1 to 63 characters out of a-z, 0-9 and '-'.
+// Returns whether `text` is a valid name: 1 to 63 characters from a-z, 0-9 and '-'.
 bool isValidName(std::string_view text);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/document/json_reader.cpp
+++ b/src/persimmonrail/document/json_reader.cpp
@@ -17,120 +17,126 @@
 
 constexpr size_t maxErrorTextBytes = 256;
 
-// Builds the JSON value and reports repeated fields, of which Poco keeps only the last one.
-class checking_handler : public Poco::JSON::ParseHandler
+// Builds the JSON value and reports an error for each repeated field. Poco's own handler accepts
+// repeated fields and keeps only the last one.
+class duplicate_field_handler : public Poco::JSON::ParseHandler
 {
 public:
-    explicit checking_handler(error_list &errors)
+    explicit duplicate_field_handler(error_list &errors)
         : m_errors(errors)
     { }
 
     void startObject() override
     {
         ParseHandler::startObject();
-        m_frames.push_back({false});
+        m_openContainers.push_back({false});
     }
     void endObject() override
     {
         ParseHandler::endObject();
-        leave();
+        closeContainer();
     }
     void startArray() override
     {
         ParseHandler::startArray();
-        m_frames.push_back({true});
+        m_openContainers.push_back({true});
     }
     void endArray() override
     {
         ParseHandler::endArray();
-        leave();
+        closeContainer();
     }
     void key(const std::string &name) override
     {
         ParseHandler::key(name);
-        auto &frame = m_frames.back();
-        frame.field = name;
-        if (!frame.seen.insert(name).second) {
-            m_errors.add(path(), "field is repeated");
+        auto &container = m_openContainers.back();
+        container.currentField = name;
+        if (!container.seenFields.insert(name).second) {
+            m_errors.add(currentPath(), "field is repeated");
         }
     }
-    void value(int number) override { scalar(number); }
-    void value(unsigned number) override { scalar(number); }
-    void value(Poco::Int64 number) override { scalar(number); }
-    void value(Poco::UInt64 number) override { scalar(number); }
-    void value(const std::string &text) override { scalar(text); }
-    void value(double number) override { scalar(number); }
-    void value(bool flag) override { scalar(flag); }
+    void value(int number) override { addScalar(number); }
+    void value(unsigned number) override { addScalar(number); }
+    void value(Poco::Int64 number) override { addScalar(number); }
+    void value(Poco::UInt64 number) override { addScalar(number); }
+    void value(const std::string &text) override { addScalar(text); }
+    void value(double number) override { addScalar(number); }
+    void value(bool flag) override { addScalar(flag); }
     void null() override
     {
         ParseHandler::null();
-        advance();
+        advanceIndex();
     }
 
 private:
-    struct frame
+    // An object or array whose end has not been parsed yet.
+    struct container
     {
         bool isArray = false;
+        // Index of the current element. Only for arrays.
         size_t index = 0;
-        std::string field = {};
-        std::set<std::string> seen = {};
+        // Name of the current field and the names of all fields so far. Only for objects.
+        std::string currentField = {};
+        std::set<std::string> seenFields = {};
     };
 
-    template <typename Value> void scalar(const Value &v)
+    template <typename Value> void addScalar(const Value &scalar)
     {
-        ParseHandler::value(v);
-        advance();
+        ParseHandler::value(scalar);
+        advanceIndex();
     }
-    void leave()
+    void closeContainer()
     {
-        m_frames.pop_back();
-        advance();
+        m_openContainers.pop_back();
+        advanceIndex();
     }
-    void advance()
+    void advanceIndex()
     {
-        if (!m_frames.empty() && m_frames.back().isArray) {
-            ++m_frames.back().index;
+        if (!m_openContainers.empty() && m_openContainers.back().isArray) {
+            ++m_openContainers.back().index;
         }
     }
-    std::string path() const
+    // Returns the path of the value that is being parsed.
+    std::string currentPath() const
     {
         std::string text;
-        for (const auto &frame : m_frames) {
-            if (frame.isArray) {
-                absl::StrAppend(&text, "[", frame.index, "]");
+        for (const auto &container : m_openContainers) {
+            if (container.isArray) {
+                absl::StrAppend(&text, "[", container.index, "]");
             } else {
-                absl::StrAppend(&text, text.empty() ? "" : ".", frame.field);
+                absl::StrAppend(&text, text.empty() ? "" : ".", container.currentField);
             }
         }
         return text;
     }
 
     error_list &m_errors;
-    std::vector<frame> m_frames;
+    std::vector<container> m_openContainers;
 };
 
-// Escapes control characters, which must not reach an operator's terminal, and cuts the text.
-std::string bounded(std::string_view text)
+// Escapes control characters, which an operator's terminal could interpret, and truncates the text
+// after about maxErrorTextBytes. UTF-8 sequences are not split.
+std::string escapeAndTruncate(std::string_view text)
 {
-    std::string safe;
+    std::string escaped;
     for (const char c : text) {
         const auto byte = static_cast<unsigned char>(c);
         const bool isContinuation = (byte & 0xc0) == 0x80;
-        if (safe.size() >= maxErrorTextBytes && !isContinuation) {
-            return safe + "...";
+        if (escaped.size() >= maxErrorTextBytes && !isContinuation) {
+            return escaped + "...";
         }
         if (byte < ' ' || byte == 0x7f) {
-            absl::StrAppend(&safe, "\\x", absl::Hex(byte, absl::kZeroPad2));
+            absl::StrAppend(&escaped, "\\x", absl::Hex(byte, absl::kZeroPad2));
         } else {
-            safe.push_back(c);
+            escaped.push_back(c);
         }
     }
-    return safe;
+    return escaped;
 }
 
-std::string describeRange(int64_t lowest, int64_t highest)
+std::string describeRange(int64_t minValue, int64_t maxValue)
 {
-    return absl::StrCat("must be an integer from ", lowest, " to ", highest);
+    return absl::StrCat("must be an integer from ", minValue, " to ", maxValue);
 }
 
 } // namespace
@@ -138,17 +144,17 @@
 void error_list::add(std::string_view path, std::string_view message)
 {
     if (m_errors.size() < maxDocumentErrors) {
-        m_errors.push_back({bounded(path), bounded(message)});
+        m_errors.push_back({escapeAndTruncate(path), escapeAndTruncate(message)});
     } else {
-        ++m_omitted;
+        ++m_unlistedCount;
     }
 }
 
 std::vector<document_error> error_list::errors() const
 {
     auto errors = m_errors;
-    if (m_omitted > 0) {
-        errors.push_back({"", absl::StrCat(m_omitted, " further errors are not listed")});
+    if (m_unlistedCount > 0) {
+        errors.push_back({"", absl::StrCat(m_unlistedCount, " further errors are not listed")});
     }
     return errors;
 }
@@ -156,7 +162,7 @@
 Object::Ptr parseJsonObject(std::string_view json, int maxDepth, error_list &errors)
 {
     try {
-        Poco::JSON::Parser parser(new checking_handler(errors));
+        Poco::JSON::Parser parser(new duplicate_field_handler(errors));
         parser.setDepth(static_cast<size_t>(maxDepth));
         const Var value = parser.parse(std::string(json));
         if (value.type() != typeid(Object::Ptr)) {
@@ -186,41 +192,41 @@
     return absl::StrCat(m_path, ".", field);
 }
 
-void object_reader::fail(const std::string &field, std::string_view message)
+void object_reader::reportError(const std::string &field, std::string_view message)
 {
-    failAt(pathOf(field), message);
+    reportErrorAt(pathOf(field), message);
 }
 
-void object_reader::failAt(std::string_view path, std::string_view message)
+void object_reader::reportErrorAt(std::string_view path, std::string_view message)
 {
     m_errors->add(path, message);
 }
 
-Var object_reader::take(const std::string &field, bool isRequired)
+Var object_reader::readField(const std::string &field, bool isRequired)
 {
-    m_known.insert(field);
+    m_knownFields.insert(field);
     if (!m_object->has(field)) {
         if (isRequired) {
-            fail(field, "is missing");
+            reportError(field, "is missing");
         }
         return {};
     }
     return m_object->get(field);
 }
 
-std::optional<std::string> object_reader::text(const std::string &field)
+std::optional<std::string> object_reader::requiredString(const std::string &field)
 {
-    const Var value = take(field, true);
+    const Var value = readField(field, true);
     if (has(field) && !value.isString()) {
-        fail(field, "must be a string");
+        reportError(field, "must be a string");
     }
     return value.isString() ? std::optional(value.extract<std::string>()) : std::nullopt;
 }
 
-std::optional<int64_t> object_reader::integer(const std::string &field, int64_t lowest,
-                                              int64_t highest)
+std::optional<int64_t> object_reader::requiredInteger(const std::string &field, int64_t minValue,
+                                                      int64_t maxValue)
 {
-    const Var value = take(field, true);
+    const Var value = readField(field, true);
     if (!has(field)) {
         return std::nullopt;
     }
@@ -229,118 +235,118 @@
         try {
             number = value.convert<Poco::Int64>();
         } catch (const Poco::Exception &) {
-            // Above the 64-bit range, hence outside of every allowed range.
-            number = highest + 1;
+            // The value exceeds the signed 64-bit range, which contains every allowed range.
+            number = maxValue + 1;
         }
-        if (number >= lowest && number <= highest) {
+        if (number >= minValue && number <= maxValue) {
             return number;
         }
     }
-    fail(field, describeRange(lowest, highest));
+    reportError(field, describeRange(minValue, maxValue));
     return std::nullopt;
 }
 
-std::optional<bool> object_reader::boolean(const std::string &field)
+std::optional<bool> object_reader::requiredBoolean(const std::string &field)
 {
-    const Var value = take(field, true);
+    const Var value = readField(field, true);
     if (has(field) && !value.isBoolean()) {
-        fail(field, "must be true or false");
+        reportError(field, "must be true or false");
     }
     return value.isBoolean() ? std::optional(value.extract<bool>()) : std::nullopt;
 }
 
-double object_reader::number(const std::string &field, double lowest, double highest,
-                             double fallback)
+double object_reader::numberOr(const std::string &field, double minValue, double maxValue,
+                               double fallback)
 {
-    const Var value = take(field, false);
+    const Var value = readField(field, false);
     if (!has(field)) {
         return fallback;
     }
     if (value.isNumeric() && !value.isBoolean() && !value.isString()) {
         const auto number = value.convert<double>();
-        if (std::isfinite(number) && number >= lowest && number <= highest) {
+        if (std::isfinite(number) && number >= minValue && number <= maxValue) {
             return number;
         }
     }
-    fail(field, absl::StrCat("must be a number from ", lowest, " to ", highest));
+    reportError(field, absl::StrCat("must be a number from ", minValue, " to ", maxValue));
     return fallback;
 }
 
 bool object_reader::booleanOr(const std::string &field, bool fallback)
 {
     if (!has(field)) {
-        m_known.insert(field);
+        m_knownFields.insert(field);
         return fallback;
     }
-    return boolean(field).value_or(fallback);
+    return requiredBoolean(field).value_or(fallback);
 }
 
-std::optional<object_reader> object_reader::object(const std::string &field)
+std::optional<object_reader> object_reader::optionalObject(const std::string &field)
 {
-    const Var value = take(field, false);
+    const Var value = readField(field, false);
     if (!has(field)) {
         return std::nullopt;
     }
     if (value.type() != typeid(Object::Ptr)) {
-        fail(field, "must be an object");
+        reportError(field, "must be an object");
         return std::nullopt;
     }
     return object_reader(value.extract<Object::Ptr>(), pathOf(field), *m_errors);
 }
 
-Array::Ptr object_reader::array(const std::string &field, bool isRequired)
+Array::Ptr object_reader::readArray(const std::string &field, bool isRequired)
 {
-    const Var value = take(field, isRequired);
+    const Var value = readField(field, isRequired);
     if (!has(field)) {
         return nullptr;
     }
     if (value.type() != typeid(Array::Ptr)) {
-        fail(field, "must be an array");
+        reportError(field, "must be an array");
         return nullptr;
     }
     Array::Ptr elements = value.extract<Array::Ptr>();
     if (isRequired && elements->empty()) {
-        fail(field, "must have at least one element");
+        reportError(field, "must have at least one element");
     }
     return elements;
 }
 
-std::vector<object_reader> object_reader::objects(const std::string &field, bool isRequired)
+std::vector<object_reader> object_reader::objectArray(const std::string &field, bool isRequired)
 {
     std::vector<object_reader> readers;
-    const Array::Ptr elements = array(field, isRequired);
+    const Array::Ptr elements = readArray(field, isRequired);
     for (size_t i = 0; !elements.isNull() && i < elements->size(); ++i) {
         const std::string path = absl::StrCat(pathOf(field), "[", i, "]");
         if (elements->isObject(static_cast<unsigned>(i))) {
             readers.emplace_back(elements->getObject(static_cast<unsigned>(i)), path, *m_errors);
         } else {
-            failAt(path, "must be an object");
+            reportErrorAt(path, "must be an object");
         }
     }
     return readers;
 }
 
-std::vector<object_reader::text_element> object_reader::texts(const std::string &field)
+std::vector<object_reader::string_element> object_reader::stringArray(const std::string &field)
 {
-    std::vector<text_element> found;
-    const Array::Ptr elements = array(field, false);
+    std::vector<string_element> strings;
+    const Array::Ptr elements = readArray(field, false);
     for (size_t i = 0; !elements.isNull() && i < elements->size(); ++i) {
         const std::string path = absl::StrCat(pathOf(field), "[", i, "]");
         const Var value = elements->get(static_cast<unsigned>(i));
         if (value.isString()) {
-            found.push_back({path, value.extract<std::string>()});
+            strings.push_back({path, value.extract<std::string>()});
         } else {
-            failAt(path, "must be a string");
+            reportErrorAt(path, "must be a string");
         }
     }
-    return found;
+    return strings;
 }
 
-void object_reader::reportUnknown()
+void object_reader::reportUnknownFields()
 {
     for (const auto &name : m_object->getNames()) {
-        if (!m_known.contains(name)) {
-            fail(name, "unknown field");
+        if (!m_knownFields.contains(name)) {
+            reportError(name, "unknown field");
         }
     }
 }
--- a/src/persimmonrail/document/service_document.cpp
+++ b/src/persimmonrail/document/service_document.cpp
@@ -3,9 +3,10 @@
 namespace persimmonrail {
 namespace {
 
-// Prefixes end at segment boundaries: "/credit" covers "/credit" and "/credit/7", not "/credits",
-// so that an operation never applies to a path that merely begins with the same letters.
-bool isBelow(std::string_view path, std::string_view prefix)
+// Returns whether `prefix` matches whole segments at the start of `path`: "/credit" matches
+// "/credit" and "/credit/7", but not "/credits", so an operation does not apply to an unrelated
+// path whose name begins with the same letters.
+bool matchesPathPrefix(std::string_view path, std::string_view prefix)
 {
     return path.starts_with(prefix)
         && (prefix.ends_with('/') || path.size() == prefix.size() || path[prefix.size()] == '/');
@@ -19,7 +20,7 @@
     path = path.substr(0, path.find_first_of("?#"));
     for (const auto &operation : operations) {
         if ((operation.method == "*" || operation.method == method)
-            && isBelow(path, operation.pathPrefix)) {
+            && matchesPathPrefix(path, operation.pathPrefix)) {
             return &operation;
         }
     }
--- a/src/persimmonrail/document/service_document.h
+++ b/src/persimmonrail/document/service_document.h
@@ -10,9 +10,10 @@
 
 namespace persimmonrail {
 
-// Where the key of a request is taken from.
+// Part of a request that holds the key.
 enum class key_source { PathSegment, QueryParameter, Header };
 
+// Defines how the key of a request is determined.
 struct key_rule
 {
     key_source source = key_source::PathSegment;
@@ -22,50 +23,59 @@
     std::string name;
 };
 
-// A class of work. Ranks are listed from the most urgent to the least urgent.
+// A priority class of requests. A document lists its ranks from the most urgent to the least
+// urgent.
 struct rank_rule
 {
     std::string name;
-    // Latency that the service aims for.
+    // Latency objective of the rank's requests.
     milliseconds target{0};
-    // Relative worth of one answered request; used to compare policies.
+    // Relative value of one answered request, used to compare admission policies.
     double worth = 1;
-    // Share of the upstream's capacity that this rank keeps under overload, 0 to 1.
+    // Guaranteed minimum share of the upstream's capacity under overload, from 0 to 1.
     double floor = 0;
 };
 
-// Maps requests to a rank. The first operation whose method and path prefix match applies.
+// Assigns a rank and a timeout to the requests with a given method and path prefix. If several
+// operations match a request, the first one applies.
 struct operation_rule
 {
     std::string name;
-    // "*" matches every method.
+    // HTTP method, or "*" for every method.
     std::string method;
+    // Matches whole path segments: "/credit" matches "/credit/7", not "/credits".
     std::string pathPrefix;
+    // Name of a rank of the same document.
     std::string rank;
     milliseconds timeout{0};
-    // Whether the request may run more than once.
+    // Whether the request may be executed more than once.
     bool repeatable = false;
 };
 
-// A service team's configuration document after validation.
+// The validated configuration document of a service.
 struct service_document
 {
     std::string service;
-    // Present if the service's servers own keys exclusively.
+    // Set if and only if the servers of the service own keys exclusively.
     std::optional<key_rule> key;
-    // Number of hash ranges that the key space is divided into; fixed for the life of the service.
+    // Number of hash ranges that the key space is divided into, or 0 if the service is not
+    // partitioned. The number cannot change once a document has been accepted.
     int partitions = 0;
-    // Whether upstreams refuse requests that carry an outdated grant.
+    // Whether the upstreams reject requests that carry an outdated grant.
     bool checksGrants = false;
     std::vector<rank_rule> ranks;
     std::vector<operation_rule> operations;
-    // Instances that the operator declares gone for good, as "name/incarnation".
+    // Instances that the operator has declared permanently terminated, as "name/incarnation".
     std::vector<std::string> retired;
 
-    // A service is partitioned if it divides its keys or has operations that may not be repeated.
+    // Returns whether the key space is divided into partitions. Services with a key rule or with an
+    // operation that is not repeatable need partitions.
     bool isPartitioned() const { return partitions > 0; }
+    // Returns the first operation that matches the method and the path, or null if none matches.
+    // The match ignores the query and the fragment of `path`. The result points into `operations`.
     const operation_rule *findOperation(std::string_view method, std::string_view path) const;
-    // Position of a rank in `ranks`, or the last position if the name is not listed.
+    // Returns the index of the rank in `ranks`, or the last index if no rank has this name. Returns
+    // 0 if `ranks` is empty.
     size_t rankIndex(std::string_view name) const;
 };
 
--- a/src/persimmonrail/document/tests/document_acceptance_test.cpp
+++ b/src/persimmonrail/document/tests/document_acceptance_test.cpp
@@ -18,27 +18,28 @@
         + rank + R"(","timeout_ms":5,"repeatable":true}]})";
 }
 
-stored_object config(uint64_t version, const std::string &text)
+stored_object configObject(uint64_t version, const std::string &text)
 {
     return {"config/haulbook", version, false, text};
 }
 
-const std::string valid = documentText("haulbook", "query", 16);
-const std::string invalid = documentText("haulbook", "query", 16, "nobody");
+const std::string validDocument = documentText("haulbook", "query", 16);
+const std::string invalidDocument = documentText("haulbook", "query", 16, "nobody");
 
 } // namespace
 
 TEST_CASE("a valid document is accepted with its source version", "[document]")
 {
-    const auto decision = decideAcceptance(config(7, valid), std::nullopt, std::nullopt, now);
-    CHECK(decision.accepted == accepted_document{7, valid});
+    const auto decision =
+        decideAcceptance(configObject(7, validDocument), std::nullopt, std::nullopt, now);
+    CHECK(decision.accepted == accepted_document{7, validDocument});
     CHECK(decision.status == document_status{7, document_state::Accepted, now, {}});
 }
 
 TEST_CASE("an invalid document is rejected with its errors", "[document]")
 {
-    const auto decision =
-        decideAcceptance(config(7, invalid), accepted_document{5, valid}, std::nullopt, now);
+    const auto decision = decideAcceptance(configObject(7, invalidDocument),
+                                           accepted_document{5, validDocument}, std::nullopt, now);
     CHECK(!decision.accepted);
     REQUIRE(decision.status);
     CHECK(decision.status->state == document_state::Rejected);
@@ -46,42 +47,48 @@
     CHECK(decision.status->errors[0].path == "operations[0].rank");
 }
 
-// Guards P8: an accepted configuration never reverts, whichever stale object a coordinator reads.
+// Guards against a coordinator that reads an outdated object and reverts an accepted configuration
+// (property P8 in docs/design.md).
 TEST_CASE("a source version at or below the accepted one changes nothing", "[document]")
 {
     const uint64_t version = GENERATE(1, 6, 7);
     const document_status current{7, document_state::Accepted, now, {}};
-    CHECK(decideAcceptance(config(version, documentText("haulbook", "query", 16)),
-                           accepted_document{7, valid}, current, now)
-              .isNothingToDo());
+    CHECK(decideAcceptance(configObject(version, documentText("haulbook", "query", 16)),
+                           accepted_document{7, validDocument}, current, now)
+              .isEmpty());
 }
 
-// Guards against an operator waiting forever: the coordinator may be lost between its two writes.
+// Guards against a status that never appears, so that an operator waits for it forever. This
+// happens if the coordinator fails after it has written the accepted copy and before it writes the
+// status.
 TEST_CASE("a missing status of the accepted version is restored", "[document]")
 {
-    const auto decision =
-        decideAcceptance(config(7, valid), accepted_document{7, valid}, std::nullopt, now);
+    const auto decision = decideAcceptance(configObject(7, validDocument),
+                                           accepted_document{7, validDocument}, std::nullopt, now);
     CHECK(!decision.accepted);
     CHECK(decision.status == document_status{7, document_state::Accepted, now, {}});
-    CHECK(decideAcceptance(config(6, valid), accepted_document{7, valid}, std::nullopt, now)
-              .isNothingToDo());
+    CHECK(decideAcceptance(configObject(6, validDocument), accepted_document{7, validDocument},
+                           std::nullopt, now)
+              .isEmpty());
 }
 
-TEST_CASE("one version is judged once", "[document]")
+TEST_CASE("a version with a stored status is not validated again", "[document]")
 {
     const document_status current{7, document_state::Rejected, now, {{"a", "b"}}};
-    CHECK(decideAcceptance(config(7, invalid), std::nullopt, current, now).isNothingToDo());
-    CHECK(!decideAcceptance(config(8, invalid), std::nullopt, current, now).isNothingToDo());
+    CHECK(decideAcceptance(configObject(7, invalidDocument), std::nullopt, current, now).isEmpty());
+    CHECK(
+        !decideAcceptance(configObject(8, invalidDocument), std::nullopt, current, now).isEmpty());
 }
 
 TEST_CASE("a deleted document leaves the accepted one in force", "[document]")
 {
-    CHECK(decideAcceptance({"config/haulbook", 9, true, ""}, accepted_document{7, valid},
+    CHECK(decideAcceptance({"config/haulbook", 9, true, ""}, accepted_document{7, validDocument},
                            std::nullopt, now)
-              .isNothingToDo());
+              .isEmpty());
 }
 
-// Guards P1: with another division of the key space, a key would belong to two partitions.
+// Guards against a key with two owners (property P1 in docs/design.md). If the division of the key
+// space changed, a key would belong to an old and to a new partition.
 TEST_CASE("partitions, key rule and service name cannot change", "[document]")
 {
     const auto [text, path] = GENERATE(table<std::string, std::string>({
@@ -89,8 +96,8 @@
         {documentText("haulbook", "header", 16), "key"},
         {documentText("ledger", "query", 16), "service"},
     }));
-    const auto decision =
-        decideAcceptance(config(8, text), accepted_document{7, valid}, std::nullopt, now);
+    const auto decision = decideAcceptance(configObject(8, text),
+                                           accepted_document{7, validDocument}, std::nullopt, now);
     CHECK(!decision.accepted);
     REQUIRE(decision.status);
     REQUIRE(decision.status->errors.size() == 1);
@@ -99,15 +106,15 @@
 
 TEST_CASE("an unreadable accepted document is not replaced", "[document]")
 {
-    const auto decision =
-        decideAcceptance(config(8, valid), accepted_document{7, "{}"}, std::nullopt, now);
+    const auto decision = decideAcceptance(configObject(8, validDocument),
+                                           accepted_document{7, "{}"}, std::nullopt, now);
     CHECK(!decision.accepted);
     CHECK(decision.status->state == document_state::Rejected);
 }
 
-TEST_CASE("stored forms survive encoding", "[document]")
+TEST_CASE("accepted documents and statuses are unchanged by encoding and decoding", "[document]")
 {
-    const accepted_document accepted{0x7000000000000000ULL, valid};
+    const accepted_document accepted{0x7000000000000000ULL, validDocument};
     CHECK(*decodeAccepted(encodeAccepted(accepted)) == accepted);
     const document_status status{
         9, document_state::Rejected, now, {{"a[0].b", "\"x\"\n"}, {"", "y"}}};
--- a/src/persimmonrail/document/tests/document_parser_test.cpp
+++ b/src/persimmonrail/document/tests/document_parser_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::string example(const std::string &name)
+std::string readExample(const std::string &name)
 {
     const auto root = std::filesystem::path(__FILE__).parent_path() / "../../../../examples";
     std::ifstream file(root / name);
@@ -20,16 +20,17 @@
     return text.str();
 }
 
-// Replaces the first occurrence of `from` in the haulbook example.
-std::string edited(const std::string &from, const std::string &to)
+// Returns the haulbook example with the first occurrence of `from` replaced by `to`.
+std::string editedExample(const std::string &from, const std::string &to)
 {
-    std::string text = example("haulbook.json");
+    std::string text = readExample("haulbook.json");
     const size_t position = text.find(from);
     REQUIRE(position != std::string::npos);
     return text.replace(position, from.size(), to);
 }
 
-struct fault
+// A replacement in the haulbook example that makes it invalid, and the path of the expected error.
+struct invalid_edit
 {
     const char *from;
     const char *to;
@@ -40,24 +41,24 @@
 
 TEST_CASE("the example documents are valid", "[document]")
 {
-    const auto haulbook = parseServiceDocument(example("haulbook.json"));
+    const auto haulbook = parseServiceDocument(readExample("haulbook.json"));
     REQUIRE(renderErrors(haulbook.errors).empty());
     CHECK(haulbook.document->key->segment == 1);
     CHECK(haulbook.document->partitions == 16);
     CHECK(haulbook.document->checksGrants);
     CHECK(haulbook.document->ranks[0].floor == 0.4);
     CHECK(haulbook.document->operations[0].timeout == milliseconds(2000));
-    const auto ledger = parseServiceDocument(example("ledger.json"));
+    const auto ledger = parseServiceDocument(readExample("ledger.json"));
     REQUIRE(renderErrors(ledger.errors).empty());
     CHECK(!ledger.document->key);
     CHECK(ledger.document->isPartitioned());
 }
 
-// Guards against a document taking effect with a value that the daemons cannot honour, and against
-// an error reported at the wrong place.
+// Guards against accepting a document with a value that the daemons cannot apply, and against an
+// error that is reported at the wrong path.
 TEST_CASE("each violation is reported once, at its path", "[document]")
 {
-    const auto &[from, to, path] = GENERATE(values<fault>({
+    const auto &[from, to, path] = GENERATE(values<invalid_edit>({
         {"\"haulbook\"", "\"Haulbook\"", "service"},
         {"\"haulbook\"", "7", "service"},
         {"\"service\": \"haulbook\",", "", "service"},
@@ -98,14 +99,15 @@
         {"\"worth\": 4,", "\"worth\": 4, \"worth\": 4,", "ranks[1].worth"},
     }));
     CAPTURE(from, to);
-    const auto parsed = parseServiceDocument(edited(from, to));
+    const auto parsed = parseServiceDocument(editedExample(from, to));
     CHECK(!parsed.document);
     CAPTURE(renderErrors(parsed.errors));
     REQUIRE(parsed.errors.size() == 1);
     CHECK(parsed.errors[0].path == path);
 }
 
-// Guards against operators having to fix a document one error at a time.
+// Guards against reporting only the first error, so that an operator has to correct a document one
+// error at a time.
 TEST_CASE("all errors of a document are listed", "[document]")
 {
     const auto parsed = parseServiceDocument(
@@ -121,7 +123,7 @@
                                       "operations[0].timeout_ms", "partitions", "extra"});
 }
 
-TEST_CASE("text that is no document is refused", "[document]")
+TEST_CASE("text that is not a service document is rejected", "[document]")
 {
     for (const std::string &text :
          {std::string(), std::string("[]"), std::string("1"), std::string("{"),
@@ -138,8 +140,9 @@
     }
 }
 
-// Guards against a small document whose status exceeds the platform's value limit or the daemon's
-// memory: each repeated field would otherwise carry the long name of its parent.
+// Guards against a small document whose status exceeds the platform's limit for a value or the
+// daemon's memory. Without limits, the error for each repeated field would contain the long name of
+// the parent field.
 TEST_CASE("errors of a document are bounded in number and size", "[document]")
 {
     std::string text = "{\"" + std::string(100'000, 'n') + "\\u001b\":{\"a\":1";
@@ -157,14 +160,14 @@
     CHECK(renderErrors(escaped.errors).find("\\x1b[2J: unknown field") != std::string::npos);
 }
 
-// Guards against a document that stops the coordinator: whatever bytes a team stores, parsing ends
-// with a document or with errors.
-TEST_CASE("damaged documents never escape validation", "[document]")
+// Guards against a stored document that crashes the coordinator. For any bytes, the parser must
+// return either a document or errors.
+TEST_CASE("a corrupted document yields either a document or errors", "[document]")
 {
     std::mt19937 random(20240611);
-    const std::string original = example("haulbook.json");
+    const std::string original = readExample("haulbook.json");
     const std::string alphabet = "{}[]\",:0123456789.eE-+\\u\x01\x80\xff truefalsn";
-    size_t refused = 0;
+    size_t rejected = 0;
     constexpr size_t rounds = 3000;
     for (size_t round = 0; round < rounds; ++round) {
         std::string text = original;
@@ -187,24 +190,24 @@
         CAPTURE(round);
         const auto parsed = parseServiceDocument(text);
         REQUIRE(parsed.document.has_value() == parsed.errors.empty());
-        refused += parsed.document ? 0 : 1;
+        rejected += parsed.document ? 0 : 1;
     }
-    CHECK(refused > rounds / 2);
+    CHECK(rejected > rounds / 2);
 }
 
 TEST_CASE("operations match by method and whole path segments", "[document]")
 {
-    const auto document = *parseServiceDocument(example("haulbook.json")).document;
-    const auto nameOf = [&](const char *method, const char *path) {
+    const auto document = *parseServiceDocument(readExample("haulbook.json")).document;
+    const auto findOperationName = [&](const char *method, const char *path) {
         const auto *operation = document.findOperation(method, path);
         return operation == nullptr ? std::string() : operation->name;
     };
-    CHECK(nameOf("POST", "/hauls/7") == "record-haul");
-    CHECK(nameOf("GET", "/hauls") == "read-haul");
-    CHECK(nameOf("GET", "/hauls?id=7") == "read-haul");
-    CHECK(nameOf("GET", "/haulsheet").empty());
-    CHECK(nameOf("GET", "/haul").empty());
-    CHECK(nameOf("DELETE", "/hauls/7").empty());
+    CHECK(findOperationName("POST", "/hauls/7") == "record-haul");
+    CHECK(findOperationName("GET", "/hauls") == "read-haul");
+    CHECK(findOperationName("GET", "/hauls?id=7") == "read-haul");
+    CHECK(findOperationName("GET", "/haulsheet").empty());
+    CHECK(findOperationName("GET", "/haul").empty());
+    CHECK(findOperationName("DELETE", "/hauls/7").empty());
     CHECK(document.rankIndex("audit") == 2);
     CHECK(document.rankIndex("nothing") == 3);
 }
