--- a/src/persimmonrail/peer/control_channel.cpp
+++ b/src/persimmonrail/peer/control_channel.cpp
@@ -7,7 +7,7 @@
 
 namespace persimmonrail {
 
-class control_channel::state
+class control_channel::impl
 {
 public:
     control_traffic traffic;
@@ -18,38 +18,38 @@
 absl::StatusOr<std::unique_ptr<control_channel>> control_channel::listen(const std::string &address,
                                                                          request_handler handler)
 {
-    // Malformed messages are counted and answered; protobuf would print a line for each, without
-    // bound, to the standard error stream.
+    // The channel counts malformed messages and replies to them. Without this call, protobuf would
+    // print a line for each of them to the standard error stream, without any limit.
     google::protobuf::SetLogHandler(nullptr);
-    auto created = std::make_unique<state>();
-    auto server = reply_server::listen(address, std::move(handler), created->traffic);
+    auto channel = std::make_unique<impl>();
+    auto server = reply_server::listen(address, std::move(handler), channel->traffic);
     if (!server.ok()) {
         return server.status();
     }
-    created->server = *std::move(server);
-    return std::unique_ptr<control_channel>(new control_channel(std::move(created)));
+    channel->server = *std::move(server);
+    return std::unique_ptr<control_channel>(new control_channel(std::move(channel)));
 }
 
-control_channel::control_channel(std::unique_ptr<state> state)
-    : m_state(std::move(state))
+control_channel::control_channel(std::unique_ptr<impl> channel)
+    : m_impl(std::move(channel))
 { }
 
 control_channel::~control_channel() = default;
 
 void control_channel::send(const std::string &address, const wire::Request &request,
-                           milliseconds timeout, completion done)
+                           milliseconds timeout, completion callback)
 {
-    m_state->client.send(address, request, timeout, std::move(done));
+    m_impl->client.send(address, request, timeout, std::move(callback));
 }
 
 const std::string &control_channel::address() const
 {
-    return m_state->server->address();
+    return m_impl->server->address();
 }
 
 const control_traffic &control_channel::traffic() const
 {
-    return m_state->traffic;
+    return m_impl->traffic;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/peer/nng_message.cpp
+++ b/src/persimmonrail/peer/nng_message.cpp
@@ -9,21 +9,23 @@
     if (nng_msg_alloc(&raw, size) != 0) {
         return nullptr;
     }
-    nng_message result(raw);
+    nng_message serialized(raw);
     message.SerializeWithCachedSizesToArray(static_cast<uint8_t *>(nng_msg_body(raw)));
-    return result;
+    return serialized;
 }
 
-bool parse(const nng_msg *message, google::protobuf::MessageLite &out)
+bool parse(const nng_msg *message, google::protobuf::MessageLite &result)
 {
-    auto *readable = const_cast<nng_msg *>(message);
-    return out.ParseFromArray(nng_msg_body(readable), static_cast<int>(nng_msg_len(readable)));
+    // The accessors of nng take non-const messages but do not modify them.
+    auto *mutableMessage = const_cast<nng_msg *>(message);
+    return result.ParseFromArray(nng_msg_body(mutableMessage),
+                                 static_cast<int>(nng_msg_len(mutableMessage)));
 }
 
 absl::Status nngStatus(int error)
 {
     if (error == NNG_ETIMEDOUT) {
-        return absl::DeadlineExceededError("no reply in time");
+        return absl::DeadlineExceededError("no reply before the timeout");
     }
     return absl::UnavailableError(nng_strerror(error));
 }
--- a/src/persimmonrail/peer/nng_message.h
+++ b/src/persimmonrail/peer/nng_message.h
@@ -12,17 +12,20 @@
 {
     void operator()(nng_msg *message) const { nng_msg_free(message); }
 };
+// Owning pointer to an nng message.
 using nng_message = std::unique_ptr<nng_msg, nng_message_deleter>;
 
-// Largest control message that is accepted. Pull replies, the largest ones, are cut at 64 KB plus
-// one object of at most 1 MB.
+// Maximum size of a received control message. Pull replies are the largest messages: their size is
+// limited to 64 KB plus one object of at most 1 MB.
 inline constexpr size_t maxControlMessageBytes = 2 * 1024 * 1024;
 
-// Returns null if the message can't be allocated.
+// Returns null if the nng message cannot be allocated.
 nng_message serialize(const google::protobuf::MessageLite &message);
-bool parse(const nng_msg *message, google::protobuf::MessageLite &out);
+// Parses the body of an nng message. Returns false if the body is malformed; `result` is then
+// unspecified.
+bool parse(const nng_msg *message, google::protobuf::MessageLite &result);
 
-// Maps an nng error to a status: DeadlineExceeded for a timeout, otherwise Unavailable.
+// Converts an nng error code to a status: DeadlineExceeded for a timeout, otherwise Unavailable.
 absl::Status nngStatus(int error);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/peer/reply_server.cpp
+++ b/src/persimmonrail/peer/reply_server.cpp
@@ -12,14 +12,15 @@
 namespace persimmonrail {
 namespace {
 
-// Requests that are handled at a time; further ones wait in the socket. A daemon receives some 40
-// control messages a second and answers each within a millisecond.
-constexpr int contextCount = 32;
+// Maximum number of requests that are handled at the same time. Further requests wait in the
+// socket. A daemon receives about 40 control messages a second and replies to each within 1 ms.
+constexpr int maxConcurrentRequests = 32;
 
 } // namespace
 
-// One receive-handle-reply cycle after another. Kept alive by its responders, which may outlive
-// the server; `m_open` tells them that the socket is gone.
+// Receives a request, passes the request to the handler and sends the reply, in a loop until the
+// server stops. The responders keep the context alive and may outlive the server. `m_isOpen` is
+// false once the server has stopped, so that the responders no longer use the closed socket.
 class reply_server::context : public std::enable_shared_from_this<context>
 {
 public:
@@ -31,6 +32,7 @@
     context &operator=(const context &) = delete;
     ~context() { nng_aio_free(m_aio); }
 
+    // Starts to receive. Returns 0 or an nng error code.
     int start(nng_socket socket)
     {
         if (const int error = nng_ctx_open(&m_context, socket); error != 0) {
@@ -43,11 +45,12 @@
         return 0;
     }
 
+    // Waits until a running callback has returned. Responders have no effect afterwards.
     void stop()
     {
         {
             const std::lock_guard lock(m_mutex);
-            m_open = false;
+            m_isOpen = false;
         }
         if (m_aio != nullptr) {
             nng_aio_stop(m_aio);
@@ -55,9 +58,10 @@
     }
 
 private:
+    // Step of the loop that is in progress.
     enum class phase { Receiving, Handling, Sending };
 
-    static void onComplete(void *self) { static_cast<context *>(self)->complete(); }
+    static void onComplete(void *self) { static_cast<context *>(self)->handleCompletion(); }
 
     void receive()
     {
@@ -65,11 +69,12 @@
         nng_ctx_recv(m_context, m_aio);
     }
 
-    void complete()
+    void handleCompletion()
     {
         const int error = nng_aio_result(m_aio);
         if (m_phase == phase::Sending && error != 0) {
-            // nng leaves a message that was not sent to its sender.
+            // If sending fails, the message still belongs to the sender, which must free the
+            // message.
             nng_msg_free(nng_aio_get_msg(m_aio));
             nng_aio_set_msg(m_aio, nullptr);
         }
@@ -108,7 +113,7 @@
     {
         nng_message message = serialize(reply);
         const std::lock_guard lock(m_mutex);
-        if (!m_open || m_phase != phase::Handling) {
+        if (!m_isOpen || m_phase != phase::Handling) {
             return;
         }
         if (message == nullptr) {
@@ -127,7 +132,7 @@
     nng_ctx m_context = NNG_CTX_INITIALIZER;
     nng_aio *m_aio = nullptr;
     std::mutex m_mutex;
-    bool m_open = true;
+    bool m_isOpen = true;
     std::atomic<phase> m_phase{phase::Receiving};
 };
 
@@ -160,20 +165,21 @@
         return absl::UnavailableError(
             absl::StrCat("cannot listen on ", address, ": ", nng_strerror(error)));
     }
-    nng_sockaddr bound;
-    if (const int error = nng_listener_get_addr(listener, NNG_OPT_LOCADDR, &bound); error != 0) {
+    nng_sockaddr localAddress;
+    if (const int error = nng_listener_get_addr(listener, NNG_OPT_LOCADDR, &localAddress);
+        error != 0) {
         return nngStatus(error);
     }
     const std::string host = address.substr(0, address.rfind(':'));
-    const int port =
-        ntohs(bound.s_family == NNG_AF_INET6 ? bound.s_in6.sa_port : bound.s_in.sa_port);
+    const int port = ntohs(localAddress.s_family == NNG_AF_INET6 ? localAddress.s_in6.sa_port
+                                                                 : localAddress.s_in.sa_port);
     m_address = absl::StrCat(host, ":", port);
-    for (int i = 0; i < contextCount; ++i) {
-        auto next = std::make_shared<context>(m_handler, m_traffic);
-        if (const int error = next->start(m_socket); error != 0) {
+    for (int i = 0; i < maxConcurrentRequests; ++i) {
+        auto newContext = std::make_shared<context>(m_handler, m_traffic);
+        if (const int error = newContext->start(m_socket); error != 0) {
             return nngStatus(error);
         }
-        m_contexts.push_back(std::move(next));
+        m_contexts.push_back(std::move(newContext));
     }
     return absl::OkStatus();
 }
--- a/src/persimmonrail/peer/reply_server.h
+++ b/src/persimmonrail/peer/reply_server.h
@@ -10,21 +10,23 @@
 
 namespace persimmonrail {
 
-// Answering side of a control channel: an nng reply socket with a fixed number of contexts, each of
+// Server side of a control channel: an nng reply socket with a fixed number of contexts, each of
 // which handles one request at a time.
 class reply_server
 {
 public:
-    // Errors: Unavailable if the address can't be bound.
+    // Listens on `address` ("ip:port"; port 0 selects a free port). `traffic` must outlive the
+    // server. Errors: Unavailable if the server cannot listen on the address.
     static absl::StatusOr<std::unique_ptr<reply_server>>
     listen(const std::string &address, control_channel::request_handler handler,
            control_traffic &traffic);
 
     reply_server(const reply_server &) = delete;
     reply_server &operator=(const reply_server &) = delete;
-    // Replies that are given afterwards are dropped.
+    // Replies are discarded if their responder is called after the destruction of the server.
     ~reply_server();
 
+    // Returns the address that the server listens on, with the actual port.
     const std::string &address() const { return m_address; }
 
 private:
--- a/src/persimmonrail/peer/tests/control_channel_test.cpp
+++ b/src/persimmonrail/peer/tests/control_channel_test.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-constexpr milliseconds generousTimeout{20000};
+constexpr milliseconds longTimeout{20000};
 constexpr milliseconds shortTimeout{100};
 
-std::unique_ptr<control_channel> echoChannel()
+// Returns a channel whose ping replies hold the revision of the pull request.
+std::unique_ptr<control_channel> createEchoChannel()
 {
     auto channel = control_channel::listen(
         "127.0.0.1:0", [](const wire::Request &request, const control_channel::responder &respond) {
@@ -28,15 +29,17 @@
     return *std::move(channel);
 }
 
-wire::Request pullAfter(uint64_t revision)
+wire::Request createPullRequest(uint64_t revision)
 {
     wire::Request request;
     request.mutable_pull()->set_after_revision(revision);
     return request;
 }
 
-std::future<absl::StatusOr<wire::Reply>> ask(control_channel &channel, const std::string &address,
-                                             const wire::Request &request, milliseconds timeout)
+std::future<absl::StatusOr<wire::Reply>> sendRequest(control_channel &channel,
+                                                     const std::string &address,
+                                                     const wire::Request &request,
+                                                     milliseconds timeout)
 {
     auto promise = std::make_shared<std::promise<absl::StatusOr<wire::Reply>>>();
     auto future = promise->get_future();
@@ -48,14 +51,15 @@
 
 } // namespace
 
-// Guards against replies that reach another request than their own.
+// Guards against a reply that is delivered to the wrong request.
 TEST_CASE("concurrent requests get their own replies", "[peer]")
 {
-    const auto server = echoChannel();
-    const auto client = echoChannel();
+    const auto server = createEchoChannel();
+    const auto client = createEchoChannel();
     std::vector<std::future<absl::StatusOr<wire::Reply>>> replies;
     for (uint64_t i = 1; i <= 200; ++i) {
-        replies.push_back(ask(*client, server->address(), pullAfter(i), generousTimeout));
+        replies.push_back(
+            sendRequest(*client, server->address(), createPullRequest(i), longTimeout));
     }
     for (uint64_t i = 1; i <= 200; ++i) {
         const auto reply = replies[i - 1].get();
@@ -65,16 +69,16 @@
     CHECK(server->traffic().messagesReceived == 200);
 }
 
-// Guards against a request that waits for ever on a peer that accepts and never answers, and
-// against reusing that connection once new ones work.
-TEST_CASE("a silent connection is replaced", "[peer]")
+// Guards against a request that waits forever because the peer accepts the connection and never
+// replies, and against further use of this connection when new connections work.
+TEST_CASE("an unresponsive connection is replaced", "[peer]")
 {
-    const auto client = echoChannel();
+    const auto client = createEchoChannel();
     std::string address;
     {
-        Poco::Net::ServerSocket silent(Poco::Net::SocketAddress("127.0.0.1", 0));
-        address = silent.address().toString();
-        const auto reply = ask(*client, address, pullAfter(1), shortTimeout).get();
+        Poco::Net::ServerSocket unresponsive(Poco::Net::SocketAddress("127.0.0.1", 0));
+        address = unresponsive.address().toString();
+        const auto reply = sendRequest(*client, address, createPullRequest(1), shortTimeout).get();
         CHECK(reply.status().code() == absl::StatusCode::kDeadlineExceeded);
     }
     const auto server = control_channel::listen(
@@ -84,14 +88,14 @@
             respond(reply);
         });
     REQUIRE(server.ok());
-    CHECK(ask(*client, address, pullAfter(2), generousTimeout).get().ok());
+    CHECK(sendRequest(*client, address, createPullRequest(2), longTimeout).get().ok());
 }
 
-// Guards against a crash or a stuck server when bytes that are no message arrive.
+// Guards against a server that crashes or hangs when it receives bytes that are not a message.
 TEST_CASE("malformed bytes do not stop the server", "[peer]")
 {
-    const auto server = echoChannel();
-    const auto client = echoChannel();
+    const auto server = createEchoChannel();
+    const auto client = createEchoChannel();
     std::mt19937 random(1);
     for (int round = 0; round < 20; ++round) {
         Poco::Net::StreamSocket socket{Poco::Net::SocketAddress(server->address())};
@@ -101,21 +105,21 @@
         }
         socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
     }
-    CHECK(ask(*client, server->address(), pullAfter(7), generousTimeout).get().ok());
+    CHECK(sendRequest(*client, server->address(), createPullRequest(7), longTimeout).get().ok());
 }
 
-TEST_CASE("a request without a body is answered with an error", "[peer]")
+TEST_CASE("a request without a body gets an error reply", "[peer]")
 {
-    const auto server = echoChannel();
-    const auto client = echoChannel();
-    const auto reply = ask(*client, server->address(), wire::Request(), generousTimeout).get();
+    const auto server = createEchoChannel();
+    const auto client = createEchoChannel();
+    const auto reply = sendRequest(*client, server->address(), wire::Request(), longTimeout).get();
     CHECK(reply.status().code() == absl::StatusCode::kFailedPrecondition);
     CHECK(server->traffic().malformedMessages == 1);
 }
 
-TEST_CASE("an address in use is refused", "[peer]")
+TEST_CASE("listening on an address in use fails", "[peer]")
 {
-    const auto server = echoChannel();
+    const auto server = createEchoChannel();
     const auto second = control_channel::listen(server->address(), nullptr);
     CHECK(second.status().code() == absl::StatusCode::kUnavailable);
 }
