--- a/tests/standins/json_server.cpp
+++ b/tests/standins/json_server.cpp
@@ -17,7 +17,7 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-// Each connection takes a thread, waiting watches included.
+// Each connection occupies a thread, also while its watch request waits.
 constexpr int maxThreads = 1'024;
 
 json_call readCall(HTTPServerRequest &request, size_t maxBodyBytes)
@@ -27,29 +27,30 @@
     for (const auto &[name, value] : uri.getQueryParameters()) {
         call.parameters[name] = value;
     }
-    // The excess is read and dropped, because the connection carries further requests.
+    // Bytes above the limit are read and discarded, because the connection carries further
+    // requests.
     std::istream &stream = request.stream();
     char buffer[16 * 1024];
     while (stream.read(buffer, sizeof buffer) || stream.gcount() > 0) {
-        const size_t room = maxBodyBytes + 1 - call.body.size();
-        call.body.append(buffer, std::min(room, static_cast<size_t>(stream.gcount())));
+        const size_t remainingBytes = maxBodyBytes + 1 - call.body.size();
+        call.body.append(buffer, std::min(remainingBytes, static_cast<size_t>(stream.gcount())));
     }
     return call;
 }
 
-class handler : public Poco::Net::HTTPRequestHandler
+class json_request_handler : public Poco::Net::HTTPRequestHandler
 {
 public:
-    handler(size_t maxBodyBytes, json_service service)
+    json_request_handler(size_t maxBodyBytes, json_handler handler)
         : m_maxBodyBytes(maxBodyBytes)
-        , m_service(std::move(service))
+        , m_handler(std::move(handler))
     { }
 
     void handleRequest(HTTPServerRequest &request, HTTPServerResponse &response) override
     {
-        const auto result = m_service(readCall(request, m_maxBodyBytes));
+        const auto result = m_handler(readCall(request, m_maxBodyBytes));
         if (!result) {
-            // Without an answer the server closes the connection.
+            // The server closes the connection without a response.
             response.setKeepAlive(false);
             return;
         }
@@ -63,25 +64,25 @@
 
 private:
     size_t m_maxBodyBytes;
-    json_service m_service;
+    json_handler m_handler;
 };
 
-class handler_factory : public Poco::Net::HTTPRequestHandlerFactory
+class json_request_handler_factory : public Poco::Net::HTTPRequestHandlerFactory
 {
 public:
-    handler_factory(size_t maxBodyBytes, json_service service)
+    json_request_handler_factory(size_t maxBodyBytes, json_handler handler)
         : m_maxBodyBytes(maxBodyBytes)
-        , m_service(std::move(service))
+        , m_handler(std::move(handler))
     { }
 
     Poco::Net::HTTPRequestHandler *createRequestHandler(const HTTPServerRequest &) override
     {
-        return new handler(m_maxBodyBytes, m_service);
+        return new json_request_handler(m_maxBodyBytes, m_handler);
     }
 
 private:
     size_t m_maxBodyBytes;
-    json_service m_service;
+    json_handler m_handler;
 };
 
 } // namespace
@@ -95,11 +96,11 @@
 std::optional<uint64_t> json_call::number(const std::string &name) const
 {
     uint64_t value = 0;
-    const bool isNumber = absl::SimpleAtoi(text(name), &value);
-    return isNumber ? std::optional(value) : std::nullopt;
+    const bool isParsed = absl::SimpleAtoi(text(name), &value);
+    return isParsed ? std::optional(value) : std::nullopt;
 }
 
-json_server::json_server(const std::string &address, size_t maxBodyBytes, json_service service)
+json_server::json_server(const std::string &address, size_t maxBodyBytes, json_handler handler)
     : m_pool(2, maxThreads)
     , m_socket(Poco::Net::SocketAddress(address))
 {
@@ -108,7 +109,8 @@
     params->setMaxQueued(maxThreads);
     params->setKeepAlive(true);
     m_server = std::make_unique<Poco::Net::HTTPServer>(
-        new handler_factory(maxBodyBytes, std::move(service)), m_pool, m_socket, params);
+        new json_request_handler_factory(maxBodyBytes, std::move(handler)), m_pool, m_socket,
+        params);
     m_server->start();
 }
 
--- a/tests/standins/object_store.cpp
+++ b/tests/standins/object_store.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-// Older changes are compacted, as a store with bounded memory does.
-constexpr size_t maxLogLength = 100'000;
+// Bounds the memory of the change log; older changes are compacted.
+constexpr size_t maxLoggedChanges = 100'000;
 
 } // namespace
 
-bool rate_window::admit(std::chrono::steady_clock::time_point now, uint64_t limit, uint64_t waiting)
+bool rate_window::admit(std::chrono::steady_clock::time_point now, uint64_t limit, uint64_t ongoing)
 {
     if (!m_start || now - *m_start >= std::chrono::seconds(1)) {
         m_start = now;
-        m_used = waiting;
+        m_admitted = ongoing;
     }
-    if (m_used >= limit) {
+    if (m_admitted >= limit) {
         return false;
     }
-    ++m_used;
+    ++m_admitted;
     return true;
 }
 
@@ -33,7 +33,7 @@
     return found == m_objects.end() ? nullptr : &found->second;
 }
 
-bool object_store::isExpected(const std::string &key, uint64_t expectedVersion) const
+bool object_store::hasVersion(const std::string &key, uint64_t expectedVersion) const
 {
     const auto *object = find(key);
     return (object == nullptr ? 0 : object->version) == expectedVersion;
@@ -42,25 +42,25 @@
 object_store::write_result object_store::put(const std::string &key, uint64_t expectedVersion,
                                              const std::string &value)
 {
-    if (!isExpected(key, expectedVersion)) {
+    if (!hasVersion(key, expectedVersion)) {
         const auto *object = find(key);
         return {false, object == nullptr ? 0 : object->version};
     }
     const stored_object object{key, ++m_revision, false, value};
     m_objects[key] = object;
-    log(object);
+    appendChange(object);
     return {true, m_revision};
 }
 
 object_store::write_result object_store::remove(const std::string &key, uint64_t expectedVersion)
 {
-    // Version 0 means that there is nothing to delete.
-    if (expectedVersion == 0 || !isExpected(key, expectedVersion)) {
+    // Version 0 stands for a missing object, which can't be deleted.
+    if (expectedVersion == 0 || !hasVersion(key, expectedVersion)) {
         const auto *object = find(key);
         return {false, object == nullptr ? 0 : object->version};
     }
     m_objects.erase(key);
-    log({key, ++m_revision, true, ""});
+    appendChange({key, ++m_revision, true, ""});
     return {true, m_revision};
 }
 
@@ -77,13 +77,13 @@
 std::optional<std::vector<stored_object>> object_store::changes(const std::string &prefix,
                                                                 uint64_t revision) const
 {
-    if (revision < m_compacted) {
+    if (revision < m_compactedRevision) {
         return std::nullopt;
     }
     std::vector<stored_object> found;
-    std::set<std::string> seen;
-    for (auto it = m_log.rbegin(); it != m_log.rend() && it->version > revision; ++it) {
-        if (it->key.starts_with(prefix) && seen.insert(it->key).second) {
+    std::set<std::string> seenKeys;
+    for (auto it = m_changeLog.rbegin(); it != m_changeLog.rend() && it->version > revision; ++it) {
+        if (it->key.starts_with(prefix) && seenKeys.insert(it->key).second) {
             found.push_back(*it);
         }
     }
@@ -91,19 +91,19 @@
     return found;
 }
 
-void object_store::log(const stored_object &change)
+void object_store::appendChange(const stored_object &change)
 {
-    m_log.push_back(change);
-    if (m_log.size() > maxLogLength) {
-        m_compacted = m_log.front().version;
-        m_log.pop_front();
+    m_changeLog.push_back(change);
+    if (m_changeLog.size() > maxLoggedChanges) {
+        m_compactedRevision = m_changeLog.front().version;
+        m_changeLog.pop_front();
     }
 }
 
 void object_store::compact()
 {
-    m_compacted = m_revision;
-    m_log.clear();
+    m_compactedRevision = m_revision;
+    m_changeLog.clear();
 }
 
 } // namespace standins
--- a/tests/standins/platform_standin.cpp
+++ b/tests/standins/platform_standin.cpp
@@ -21,20 +21,20 @@
 
 // The platform stores values of up to one megabyte.
 constexpr size_t maxValueBytes = 1'000'000;
-constexpr milliseconds maxWait{60'000};
+constexpr milliseconds maxWatchWait{60'000};
 
 constexpr char objectsPath[] = "/v1/objects";
 constexpr char watchPath[] = "/v1/watch";
 constexpr char controlPath[] = "/control/";
 
-json_response failure(int status, const std::string &message)
+json_response errorResponse(int status, const std::string &message)
 {
     json_response result{status};
     result.body->set("error", message);
     return result;
 }
 
-// Values travel inside JSON, which holds UTF-8 only.
+// Returns whether `text` is valid UTF-8. Values are returned inside JSON, which holds only UTF-8.
 bool isUtf8(const std::string &text)
 {
     const auto *position = reinterpret_cast<const unsigned char *>(text.data());
@@ -49,7 +49,7 @@
     return true;
 }
 
-Array::Ptr encode(const std::vector<stored_object> &objects)
+Array::Ptr encodeObjects(const std::vector<stored_object> &objects)
 {
     Array::Ptr array = new Array;
     for (const auto &object : objects) {
@@ -63,7 +63,7 @@
     return array;
 }
 
-json_response writeResponse(const object_store::write_result &result)
+json_response makeWriteResponse(const object_store::write_result &result)
 {
     json_response response{result.isApplied ? 200 : 409};
     response.body->set("version", result.version);
@@ -75,7 +75,7 @@
 class platform_standin::implementation
 {
 public:
-    // Everything that tests and the control paths change.
+    // State that the methods of platform_standin and the control paths change.
     struct state
     {
         bool isOutage = false;
@@ -90,20 +90,23 @@
 
     std::string address() const { return m_server.address(); }
     platform_calls calls() const;
-    void change(const std::function<void(state &)> &action);
+    // Applies `action` with the mutex held and wakes waiting requests.
+    void updateState(const std::function<void(state &)> &action);
     void awaitWaitingWatches(uint64_t count);
 
 private:
     std::optional<json_response> handle(const json_call &call);
-    json_response control(const json_call &call);
-    std::optional<json_response> serve(const json_call &call);
-    // The functions below are called with the mutex held.
+    json_response serveControl(const json_call &call);
+    std::optional<json_response> serveObjectApi(const json_call &call);
+    // The functions below require m_mutex to be held.
+    // Both count the request and return whether the rate budget admits it.
     bool admitRead();
     bool admitWrite();
     json_response readObject(const std::string &key) const;
     std::optional<json_response> writeObject(const json_call &call, const std::string &key);
     json_response listObjects(const std::string &prefix) const;
-    json_response watch(const json_call &call, std::unique_lock<std::mutex> &lock);
+    // Waits for changes; `lock` holds m_mutex.
+    json_response serveWatch(const json_call &call, std::unique_lock<std::mutex> &lock);
 
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
@@ -126,7 +129,7 @@
         const std::lock_guard lock(m_mutex);
         m_isStopping = true;
     }
-    // The server's destructor waits for calls, which end now.
+    // Wakes requests that wait, because the server's destructor waits until all requests end.
     m_changed.notify_all();
 }
 
@@ -136,7 +139,7 @@
     return m_calls;
 }
 
-void platform_standin::implementation::change(const std::function<void(state &)> &action)
+void platform_standin::implementation::updateState(const std::function<void(state &)> &action)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -153,7 +156,7 @@
 
 std::optional<json_response> platform_standin::implementation::handle(const json_call &call)
 {
-    return call.path.starts_with(controlPath) ? control(call) : serve(call);
+    return call.path.starts_with(controlPath) ? serveControl(call) : serveObjectApi(call);
 }
 
 bool platform_standin::implementation::admitRead()
@@ -173,28 +176,28 @@
     return isAdmitted;
 }
 
-std::optional<json_response> platform_standin::implementation::serve(const json_call &call)
+std::optional<json_response> platform_standin::implementation::serveObjectApi(const json_call &call)
 {
     std::unique_lock lock(m_mutex);
     m_changed.wait_until(lock, steady_clock::now() + m_state.delay,
                          [this] { return m_isStopping; });
     if (!(call.method == "GET" ? admitRead() : admitWrite())) {
-        return failure(429, "rate exceeded");
+        return errorResponse(429, "rate limit exceeded");
     }
     if (m_state.isOutage) {
-        return failure(503, "outage");
+        return errorResponse(503, "platform outage");
     }
     if (call.path == watchPath && call.method == "GET") {
-        return watch(call, lock);
+        return serveWatch(call, lock);
     }
     if (call.path == objectsPath && call.method == "GET") {
         return listObjects(call.text("prefix"));
     }
-    const std::string directory = std::string(objectsPath) + "/";
-    if (!call.path.starts_with(directory) || call.path.size() == directory.size()) {
-        return failure(404, "no such path");
+    const std::string objectPathPrefix = std::string(objectsPath) + "/";
+    if (!call.path.starts_with(objectPathPrefix) || call.path.size() == objectPathPrefix.size()) {
+        return errorResponse(404, "path does not exist");
     }
-    const std::string key = call.path.substr(directory.size());
+    const std::string key = call.path.substr(objectPathPrefix.size());
     if (call.method == "GET") {
         return readObject(key);
     }
@@ -205,7 +208,7 @@
 {
     const auto *object = m_state.store.find(key);
     if (object == nullptr) {
-        return failure(404, "no such object");
+        return errorResponse(404, "object does not exist");
     }
     json_response response;
     response.body->set("key", key);
@@ -219,16 +222,16 @@
 {
     const auto version = call.number("version");
     if (!version) {
-        return failure(400, "version is missing");
+        return errorResponse(400, "query parameter version is missing or not a number");
     }
     if (call.body.size() > maxValueBytes) {
-        return failure(413, "value exceeds one megabyte");
+        return errorResponse(413, "value exceeds 1000000 bytes");
     }
     if (!isUtf8(call.body)) {
-        return failure(400, "value is not UTF-8");
+        return errorResponse(400, "value is not UTF-8");
     }
     if (call.method != "PUT" && call.method != "DELETE") {
-        return failure(405, "method not allowed");
+        return errorResponse(405, "method is not allowed for this path");
     }
     const auto result = call.method == "PUT" ? m_state.store.put(key, *version, call.body)
                                              : m_state.store.remove(key, *version);
@@ -237,49 +240,49 @@
         --m_state.dropResponses;
         return std::nullopt;
     }
-    return writeResponse(result);
+    return makeWriteResponse(result);
 }
 
 json_response platform_standin::implementation::listObjects(const std::string &prefix) const
 {
     json_response response;
     response.body->set("revision", m_state.store.revision());
-    response.body->set("objects", encode(m_state.store.list(prefix)));
+    response.body->set("objects", encodeObjects(m_state.store.list(prefix)));
     return response;
 }
 
-json_response platform_standin::implementation::watch(const json_call &call,
-                                                      std::unique_lock<std::mutex> &lock)
+json_response platform_standin::implementation::serveWatch(const json_call &call,
+                                                           std::unique_lock<std::mutex> &lock)
 {
     const auto since = call.number("since");
     const auto wait = call.number("wait_ms");
     if (!since || !wait) {
-        return failure(400, "since or wait_ms is missing");
+        return errorResponse(400, "query parameter since or wait_ms is missing or not a number");
     }
     const std::string prefix = call.text("prefix");
-    const auto limit = std::min(maxWait, milliseconds(*wait));
-    const auto isReady = [&] {
+    const auto waitTime = std::min(maxWatchWait, milliseconds(*wait));
+    const auto hasResult = [&] {
         const auto changes = m_state.store.changes(prefix, *since);
         return m_isStopping || m_state.isOutage || !changes || !changes->empty();
     };
     ++m_calls.waitingWatches;
     m_changed.notify_all();
-    m_changed.wait_until(lock, steady_clock::now() + limit, isReady);
+    m_changed.wait_until(lock, steady_clock::now() + waitTime, hasResult);
     --m_calls.waitingWatches;
     if (m_state.isOutage || m_isStopping) {
-        return failure(503, "outage");
+        return errorResponse(503, "platform outage");
     }
     const auto changes = m_state.store.changes(prefix, *since);
     if (!changes) {
-        return failure(410, "revision is compacted");
+        return errorResponse(410, "changes after this revision have been compacted");
     }
     json_response response;
     response.body->set("revision", m_state.store.revision());
-    response.body->set("events", encode(*changes));
+    response.body->set("events", encodeObjects(*changes));
     return response;
 }
 
-json_response platform_standin::implementation::control(const json_call &call)
+json_response platform_standin::implementation::serveControl(const json_call &call)
 {
     const std::string command = call.path.substr(sizeof controlPath - 1);
     if (command == "calls" && call.method == "GET") {
@@ -292,26 +295,26 @@
         return response;
     }
     if (call.method != "POST") {
-        return failure(405, "method not allowed");
+        return errorResponse(405, "method is not allowed for this path");
     }
-    const auto power = call.text("state");
+    const auto outageState = call.text("state");
     const auto delayMs = call.number("ms");
     const auto count = call.number("count");
     const auto reads = call.number("reads");
     const auto writes = call.number("writes");
-    if (command == "outage" && (power == "on" || power == "off")) {
-        change([&](implementation::state &state) { state.isOutage = power == "on"; });
+    if (command == "outage" && (outageState == "on" || outageState == "off")) {
+        updateState([&](implementation::state &state) { state.isOutage = outageState == "on"; });
     } else if (command == "delay" && delayMs) {
-        change([&](implementation::state &state) { state.delay = milliseconds(*delayMs); });
+        updateState([&](implementation::state &state) { state.delay = milliseconds(*delayMs); });
     } else if (command == "drop-answers" && count) {
-        change(
+        updateState(
             [&](implementation::state &state) { state.dropResponses = static_cast<int>(*count); });
     } else if (command == "compact") {
-        change([](implementation::state &state) { state.store.compact(); });
+        updateState([](implementation::state &state) { state.store.compact(); });
     } else if (command == "budget" && reads && writes) {
-        change([&](implementation::state &state) { state.budget = {*reads, *writes}; });
+        updateState([&](implementation::state &state) { state.budget = {*reads, *writes}; });
     } else {
-        return failure(400, "unknown command or parameter");
+        return errorResponse(400, "unknown control command, or a parameter is missing or invalid");
     }
     return {};
 }
@@ -334,27 +337,28 @@
 
 void platform_standin::setOutage(bool enabled)
 {
-    m_implementation->change([=](implementation::state &state) { state.isOutage = enabled; });
+    m_implementation->updateState([=](implementation::state &state) { state.isOutage = enabled; });
 }
 
 void platform_standin::setDelay(milliseconds delay)
 {
-    m_implementation->change([=](implementation::state &state) { state.delay = delay; });
+    m_implementation->updateState([=](implementation::state &state) { state.delay = delay; });
 }
 
 void platform_standin::dropResponses(int count)
 {
-    m_implementation->change([=](implementation::state &state) { state.dropResponses = count; });
+    m_implementation->updateState(
+        [=](implementation::state &state) { state.dropResponses = count; });
 }
 
 void platform_standin::compact()
 {
-    m_implementation->change([](implementation::state &state) { state.store.compact(); });
+    m_implementation->updateState([](implementation::state &state) { state.store.compact(); });
 }
 
 void platform_standin::setBudget(platform_budget budget)
 {
-    m_implementation->change([=](implementation::state &state) { state.budget = budget; });
+    m_implementation->updateState([=](implementation::state &state) { state.budget = budget; });
 }
 
 void platform_standin::awaitWaitingWatches(uint64_t count)
--- a/tests/standins/platform_standin_main.cpp
+++ b/tests/standins/platform_standin_main.cpp
@@ -25,7 +25,7 @@
     if (found == values.end() || absl::SimpleAtoi(found->second, &number)) {
         return true;
     }
-    std::cerr << "platform_standin: --" << flag << ": must be a number\n";
+    std::cerr << "platform_standin: --" << flag << ": value must be an unsigned number\n";
     return false;
 }
 
@@ -47,7 +47,7 @@
         }
         return 2;
     }
-    // Blocked before any thread starts, so that only sigwait below receives them.
+    // Blocks the signals before any thread starts, so that only sigwait() receives them.
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
--- a/tests/standins/scripted_server.cpp
+++ b/tests/standins/scripted_server.cpp
@@ -6,9 +6,9 @@
 namespace persimmonrail {
 namespace {
 
-const Poco::Timespan acceptInterval(0, 20'000);
-// Ends a test that would otherwise hang; no test depends on its length.
-const Poco::Timespan hangTimeout(60, 0);
+const Poco::Timespan acceptPollInterval(0, 20'000);
+// Stops a test from hanging if the peer keeps its connection open; no test depends on the value.
+const Poco::Timespan receiveTimeout(60, 0);
 
 } // namespace
 
@@ -16,24 +16,24 @@
     : m_script(std::move(script))
     , m_socket(Poco::Net::SocketAddress("127.0.0.1", 0))
     , m_address(m_socket.address().toString())
-    , m_acceptor([this] { acceptConnections(); })
+    , m_acceptThread([this] { acceptConnections(); })
 { }
 
 scripted_server::~scripted_server()
 {
-    m_stopping = true;
-    m_acceptor.join();
+    m_isStopping = true;
+    m_acceptThread.join();
     {
         const std::lock_guard lock(m_mutex);
-        for (Poco::Net::StreamSocket &socket : m_open) {
+        for (Poco::Net::StreamSocket &socket : m_openSockets) {
             try {
                 socket.shutdown();
             } catch (const Poco::Exception &) {
-                // Closed already.
+                // The connection is already closed.
             }
         }
     }
-    for (std::thread &thread : m_threads) {
+    for (std::thread &thread : m_scriptThreads) {
         thread.join();
     }
 }
@@ -41,28 +41,28 @@
 void scripted_server::waitClosed(int count)
 {
     std::unique_lock lock(m_mutex);
-    m_changed.wait(lock, [&] { return m_closed >= count; });
+    m_connectionClosed.wait(lock, [&] { return m_closedCount >= count; });
 }
 
 void scripted_server::acceptConnections()
 {
-    while (!m_stopping) {
-        if (!m_socket.poll(acceptInterval, Poco::Net::Socket::SELECT_READ)) {
+    while (!m_isStopping) {
+        if (!m_socket.poll(acceptPollInterval, Poco::Net::Socket::SELECT_READ)) {
             continue;
         }
         const std::lock_guard lock(m_mutex);
-        m_open.push_back(m_socket.acceptConnection());
-        auto connection = std::prev(m_open.end());
-        m_threads.emplace_back([this, connection, index = m_connections++] {
+        m_openSockets.push_back(m_socket.acceptConnection());
+        auto connection = std::prev(m_openSockets.end());
+        m_scriptThreads.emplace_back([this, connection, index = m_connectionCount++] {
             try {
                 m_script(*connection, index);
             } catch (const Poco::Exception &) {
-                // The peer closed the connection; scripts need not handle that.
+                // Scripts may throw when the peer closes the connection.
             }
             const std::lock_guard closing(m_mutex);
-            m_open.erase(connection);
-            ++m_closed;
-            m_changed.notify_all();
+            m_openSockets.erase(connection);
+            ++m_closedCount;
+            m_connectionClosed.notify_all();
         });
     }
 }
@@ -83,15 +83,16 @@
 std::string readToEnd(Poco::Net::StreamSocket &socket)
 {
     std::string text;
-    std::string piece(16 * 1024, '\0');
-    socket.setReceiveTimeout(hangTimeout);
+    std::string buffer(16 * 1024, '\0');
+    socket.setReceiveTimeout(receiveTimeout);
     try {
-        for (int n = 0;
-             (n = socket.receiveBytes(piece.data(), static_cast<int>(piece.size()))) > 0;) {
-            text.append(piece, 0, n);
+        for (int received = 0;
+             (received = socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size())))
+             > 0;) {
+            text.append(buffer, 0, received);
         }
     } catch (const Poco::Net::NetException &) {
-        // A reset connection has ended as well.
+        // A connection reset ends the text like a regular close.
     }
     return text;
 }
@@ -110,7 +111,7 @@
     try {
         sendText(socket, bytes);
     } catch (const Poco::Exception &) {
-        // The server may close the connection before it has read everything.
+        // The server may close the connection before all bytes are sent.
     }
     return readToEnd(socket);
 }
--- a/tests/standins/upstream_standin.cpp
+++ b/tests/standins/upstream_standin.cpp
@@ -19,8 +19,8 @@
 
 constexpr size_t maxBodyBytes = 256 * 1024 * 1024;
 constexpr milliseconds bodyTimeout{60000};
-// Cancellation is noticed within this time.
-constexpr milliseconds cancelCheckInterval{10};
+// Interval between checks of a running request for its cancellation.
+constexpr milliseconds cancelPollInterval{10};
 constexpr char jsonType[] = "application/json";
 
 steady_time currentTime()
@@ -28,14 +28,14 @@
     return std::chrono::steady_clock::now();
 }
 
-std::string toText(const Poco::JSON::Object &object)
+std::string toJsonText(const Poco::JSON::Object &object)
 {
     std::ostringstream text;
     object.stringify(text);
     return text.str();
 }
 
-std::optional<uint64_t> numberField(const Poco::Net::HTTPRequest &request, const char *name)
+std::optional<uint64_t> numberHeader(const Poco::Net::HTTPRequest &request, const char *name)
 {
     uint64_t value = 0;
     return absl::SimpleAtoi(request.get(name, ""), &value) ? std::optional(value) : std::nullopt;
@@ -56,14 +56,17 @@
     std::unique_ptr<upstream_standin> result(new upstream_standin(options));
     http_server_options serverOptions;
     serverOptions.address = options.address;
-    auto server = http_server::listen(
-        serverOptions, [raw = result.get()](server_exchange &exchange) { raw->serve(exchange); });
+    auto server =
+        http_server::listen(serverOptions, [standin = result.get()](server_exchange &exchange) {
+            standin->serve(exchange);
+        });
     if (!server.ok()) {
         return server.status();
     }
     result->m_server = *std::move(server);
     if (!options.adminAddress.empty()) {
-        result->m_announcer = std::thread([raw = result.get()] { raw->announceRepeatedly(); });
+        result->m_announceThread =
+            std::thread([standin = result.get()] { standin->announceRepeatedly(); });
     }
     return result;
 }
@@ -83,11 +86,11 @@
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_stopping = true;
+        m_isStopping = true;
         m_changed.notify_all();
     }
-    if (m_announcer.joinable()) {
-        m_announcer.join();
+    if (m_announceThread.joinable()) {
+        m_announceThread.join();
     }
     m_server.reset();
 }
@@ -102,20 +105,20 @@
 void upstream_standin::announceRepeatedly()
 {
     http_client client(std::make_shared<connection_pool>());
-    bool announcedDraining = false;
+    bool wasAnnouncedDraining = false;
     for (;;) {
         const upstream_announcement current = announcement();
-        announcedDraining = current.draining;
-        // A daemon that can't be reached is tried again at the next interval.
-        const auto ignored =
+        wasAnnouncedDraining = current.draining;
+        // A failed announcement is ignored, because the next one follows after the interval.
+        const auto ignoredResult =
             simpleRequest(client, m_options.adminAddress, "POST", "/v1/announce",
                           encodeAnnouncement(current), currentTime() + m_options.announceInterval);
         std::unique_lock lock(m_mutex);
         m_changed.wait_for(lock, m_options.announceInterval, [&] {
-            return m_stopping || (m_faults.draining != announcedDraining && !m_faults.frozen);
+            return m_isStopping || (m_faults.draining != wasAnnouncedDraining && !m_faults.frozen);
         });
-        m_changed.wait(lock, [&] { return m_stopping || !m_faults.frozen; });
-        if (m_stopping) {
+        m_changed.wait(lock, [&] { return m_isStopping || !m_faults.frozen; });
+        if (m_isStopping) {
             return;
         }
     }
@@ -165,17 +168,17 @@
 
 bool upstream_standin::waitFor(
     const std::function<bool(const std::vector<standin_run> &)> &condition,
-    milliseconds limit) const
+    milliseconds timeout) const
 {
     std::unique_lock lock(m_mutex);
-    return m_changed.wait_for(lock, limit, [&] { return condition(m_history); });
+    return m_changed.wait_for(lock, timeout, [&] { return condition(m_history); });
 }
 
 void upstream_standin::waitWhileFrozen(server_exchange &exchange)
 {
     std::unique_lock lock(m_mutex);
-    m_changed.wait(lock, [this] { return m_stopping || !m_faults.frozen; });
-    if (m_stopping) {
+    m_changed.wait(lock, [this] { return m_isStopping || !m_faults.frozen; });
+    if (m_isStopping) {
         exchange.closeAfterResponse();
     }
 }
@@ -196,22 +199,22 @@
     const std::string &method = exchange.request().getMethod();
     const std::string requestPrefix = "/v1/requests/";
     if (uri == "/v1/health" && method == "GET") {
-        const bool healthy = faults().healthy;
-        exchange.respond(healthy ? 200 : 503, healthy ? "ok\n" : "unhealthy\n", "text/plain");
+        const bool isHealthy = faults().healthy;
+        exchange.respond(isHealthy ? 200 : 503, isHealthy ? "ok\n" : "unhealthy\n", "text/plain");
     } else if (uri == "/v1/load" && method == "GET") {
         Poco::JSON::Object load;
         load.set("load", currentLoad());
-        exchange.respond(200, toText(load), jsonType);
+        exchange.respond(200, toJsonText(load), jsonType);
     } else if (uri == "/v1/history" && method == "GET") {
         exchange.respond(200, historyJson(), jsonType);
     } else if (uri == "/v1/grants" && method == "PUT") {
-        takeGrants(exchange);
+        handleGrants(exchange);
     } else if (uri == "/v1/faults" && method == "PUT") {
-        takeFaults(exchange);
+        handleFaults(exchange);
     } else if (uri.starts_with(requestPrefix) && method == "DELETE") {
         {
             const std::lock_guard lock(m_mutex);
-            m_cancelled.insert(uri.substr(requestPrefix.size()));
+            m_cancelledRequests.insert(uri.substr(requestPrefix.size()));
         }
         exchange.respond(200, "{}", jsonType);
     } else {
@@ -219,7 +222,7 @@
     }
 }
 
-void upstream_standin::takeGrants(server_exchange &exchange)
+void upstream_standin::handleGrants(server_exchange &exchange)
 {
     std::string body;
     int64_t validMs = 0;
@@ -229,11 +232,12 @@
                 const std::lock_guard lock(m_mutex);
                 const steady_time end = currentTime() + milliseconds(validMs);
                 for (const auto &grant : *grants) {
-                    // A grant speaks of its own partition only; one with a lower term came late.
-                    auto &[known, knownEnd] = m_grants[grant.partition];
-                    if (grant.term >= known.term) {
-                        known = grant;
-                        knownEnd = end;
+                    // A grant replaces only the grant of its own partition. A grant with a lower
+                    // term is outdated and arrived late.
+                    auto &[latest, expiry] = m_grants[grant.partition];
+                    if (grant.term >= latest.term) {
+                        latest = grant;
+                        expiry = end;
                     }
                 }
                 m_changed.notify_all();
@@ -245,7 +249,7 @@
     exchange.respond(400, "{}", jsonType);
 }
 
-void upstream_standin::takeFaults(server_exchange &exchange)
+void upstream_standin::handleFaults(server_exchange &exchange)
 {
     std::string body;
     upstream_standin_faults next = faults();
@@ -257,7 +261,8 @@
         next.frozen = object->optValue("frozen", next.frozen);
         next.shedding = object->optValue("shedding", next.shedding);
         next.healthy = object->optValue("healthy", next.healthy);
-        next.loadLag = milliseconds(object->optValue<int64_t>("load_lag_ms", next.loadLag.count()));
+        next.loadSampleInterval =
+            milliseconds(object->optValue<int64_t>("load_lag_ms", next.loadSampleInterval.count()));
         if (object->has("load")) {
             next.load = object->isNull("load") ? std::nullopt
                                                : std::optional(object->getValue<double>("load"));
@@ -271,7 +276,7 @@
         exchange.respond(400, "{}", jsonType);
         return;
     }
-    // Answered first, since a frozen stand-in answers nothing.
+    // Responds before the faults apply, because a frozen stand-in sends no responses.
     exchange.respond(200, "{}", jsonType);
     setFaults(next);
 }
@@ -283,17 +288,17 @@
         return *m_faults.load;
     }
     const steady_time now = currentTime();
-    if (now - m_reportedAt >= m_faults.loadLag) {
-        m_reportedLoad = static_cast<double>(m_running) / m_options.slots;
-        m_reportedAt = now;
+    if (now - m_sampledAt >= m_faults.loadSampleInterval) {
+        m_sampledLoad = static_cast<double>(m_running) / m_options.slots;
+        m_sampledAt = now;
     }
-    return m_reportedLoad;
+    return m_sampledLoad;
 }
 
 bool upstream_standin::isGranted(const Poco::Net::HTTPRequest &request) const
 {
     const std::string partition = request.get(partitionHeader, "");
-    const std::optional<uint64_t> term = numberField(request, termHeader);
+    const std::optional<uint64_t> term = numberHeader(request, termHeader);
     uint64_t hash = 0;
     if (partition.empty() || !term || !absl::SimpleHexAtoi(request.get(keyHashHeader, ""), &hash)) {
         return false;
@@ -303,7 +308,7 @@
         && found->second.first.term == *term && found->second.first.range.contains(hash);
 }
 
-std::string upstream_standin::refusal(const Poco::Net::HTTPRequest &request) const
+std::string upstream_standin::rejectionReason(const Poco::Net::HTTPRequest &request) const
 {
     if (m_faults.draining) {
         return "draining";
@@ -316,36 +321,36 @@
 
 milliseconds upstream_standin::serviceTime(const Poco::Net::HTTPRequest &request) const
 {
-    if (const auto asked = numberField(request, "X-Service-Ms")) {
-        return milliseconds(*asked);
+    if (const auto requested = numberHeader(request, "X-Service-Ms")) {
+        return milliseconds(*requested);
     }
-    const bool isCold = currentTime() - m_startedAt < m_options.coldStart;
-    return m_options.serviceTime * (isCold ? m_options.coldFactor : 1);
+    const bool isWarmingUp = currentTime() - m_startedAt < m_options.warmUpTime;
+    return m_options.serviceTime * (isWarmingUp ? m_options.warmUpFactor : 1);
 }
 
 void upstream_standin::serveRequest(server_exchange &exchange)
 {
     const Poco::Net::HTTPRequest &request = exchange.request();
     const std::string requestId = request.get(requestIdHeader, "");
-    std::string refused;
-    size_t entry = 0;
+    std::string reason;
+    size_t runIndex = 0;
     {
         const std::lock_guard lock(m_mutex);
-        refused = refusal(request);
-        if (refused.empty()) {
+        reason = rejectionReason(request);
+        if (reason.empty()) {
             ++m_running;
-            entry = m_history.size();
+            runIndex = m_history.size();
             m_history.push_back({requestId, request.getMethod(), request.getURI(),
                                  request.get(idempotencyKeyHeader, ""),
                                  request.get(partitionHeader, ""),
-                                 numberField(request, termHeader).value_or(0), "running"});
-            journal("begin", entry);
+                                 numberHeader(request, termHeader).value_or(0), "running"});
+            writeJournalLine("begin", runIndex);
             m_changed.notify_all();
         }
     }
-    if (!refused.empty()) {
+    if (!reason.empty()) {
         Poco::Net::HTTPResponse head(Poco::Net::HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
-        head.set(refusedHeader, refused);
+        head.set(refusedHeader, reason);
         head.set("Retry-After", "1");
         exchange.respond(head, "");
         return;
@@ -353,9 +358,9 @@
     const std::string state = execute(exchange, requestId);
     const std::lock_guard lock(m_mutex);
     --m_running;
-    m_cancelled.erase(requestId);
-    m_history[entry].state = state;
-    journal("end", entry);
+    m_cancelledRequests.erase(requestId);
+    m_history[runIndex].state = state;
+    writeJournalLine("end", runIndex);
     m_changed.notify_all();
 }
 
@@ -376,12 +381,12 @@
         crash();
         return "broken";
     }
-    const steady_time until = currentTime() + serviceTime(request);
-    while (currentTime() < until) {
-        const steady_time step = std::min(until, currentTime() + cancelCheckInterval);
-        const bool isClosed = exchange.connection().waitClosed(step);
+    const steady_time end = currentTime() + serviceTime(request);
+    while (currentTime() < end) {
+        const steady_time pollEnd = std::min(end, currentTime() + cancelPollInterval);
+        const bool isClosed = exchange.connection().waitClosed(pollEnd);
         const std::lock_guard lock(m_mutex);
-        if (isClosed || m_stopping || m_cancelled.contains(requestId)) {
+        if (isClosed || m_isStopping || m_cancelledRequests.contains(requestId)) {
             return "cancelled";
         }
     }
@@ -393,11 +398,11 @@
     {
         const std::lock_guard lock(m_mutex);
         if (request.getMethod() == "PUT") {
-            m_bodies[path] = std::make_shared<const std::string>(std::move(body));
+            m_storedBodies[path] = std::make_shared<const std::string>(std::move(body));
         } else if (request.getMethod() == "POST") {
-            count = ++m_counts[path];
+            count = ++m_postCounts[path];
         }
-        if (const auto found = m_bodies.find(path); found != m_bodies.end()) {
+        if (const auto found = m_storedBodies.find(path); found != m_storedBodies.end()) {
             stored = found->second;
         }
     }
@@ -423,30 +428,30 @@
     if (request.has("X-Chunked")) {
         framing = {body_framing::kind::Chunked, 0};
     }
-    auto cut = numberField(request, "X-Truncate");
-    if (!cut) {
-        cut = faults().truncateAfter;
+    auto truncateAt = numberHeader(request, "X-Truncate");
+    if (!truncateAt) {
+        truncateAt = faults().truncateAfter;
     }
-    const size_t sent = cut ? std::min<size_t>(*cut, body.size()) : body.size();
-    bool whole = exchange.beginResponse(head, framing);
-    for (size_t at = 0; at < sent && whole; at += bodyPieceBytes) {
-        whole = exchange.writeResponse(
-            std::string_view(body).substr(at, std::min(bodyPieceBytes, sent - at)));
+    const size_t sent = truncateAt ? std::min<size_t>(*truncateAt, body.size()) : body.size();
+    bool isComplete = exchange.beginResponse(head, framing);
+    for (size_t offset = 0; offset < sent && isComplete; offset += bodyPieceBytes) {
+        isComplete = exchange.writeResponse(
+            std::string_view(body).substr(offset, std::min(bodyPieceBytes, sent - offset)));
     }
-    // An answer that is cut is not ended, so that the server closes the connection.
-    whole = whole && sent == body.size() && exchange.endResponse();
-    return whole ? "done" : "broken";
+    // A truncated response is not ended, so that the server closes the connection.
+    isComplete = isComplete && sent == body.size() && exchange.endResponse();
+    return isComplete ? "done" : "broken";
 }
 
-void upstream_standin::journal(const char *event, size_t entry)
+void upstream_standin::writeJournalLine(const char *event, size_t runIndex)
 {
     if (!m_journal.is_open()) {
         return;
     }
-    const standin_run &run = m_history[entry];
+    const standin_run &run = m_history[runIndex];
     const auto time =
         std::chrono::duration_cast<std::chrono::microseconds>(currentTime().time_since_epoch());
-    m_journal << time.count() << '\t' << event << '\t' << m_bootId << '-' << entry << '\t'
+    m_journal << time.count() << '\t' << event << '\t' << m_bootId << '-' << runIndex << '\t'
               << run.requestId << '\t' << run.method << '\t' << run.path << '\t'
               << run.idempotencyKey << '\t' << run.partition << '\t' << run.term << '\t'
               << run.state << std::endl;
@@ -470,7 +475,7 @@
     object.set("instance", m_options.instance);
     object.set("boot_id", m_bootId);
     object.set("runs", runs);
-    return toText(object);
+    return toJsonText(object);
 }
 
 } // namespace persimmonrail
--- a/tests/standins/upstream_standin_main.cpp
+++ b/tests/standins/upstream_standin_main.cpp
@@ -1,3 +1,4 @@
+// Runs the upstream stand-in as a process, for tests with real daemons and for tools.
 #include "standins/upstream_standin.h"
 
 #include <absl/strings/numbers.h>
@@ -12,19 +13,20 @@
 
 namespace {
 
-constexpr char usage[] = "Usage: upstream_standin [options]\n"
-                         "  --service NAME        service of the stand-in\n"
-                         "  --instance NAME       name of the instance\n"
-                         "  --address IP:PORT     address to listen on; port 0 picks one\n"
-                         "  --admin IP:PORT       admin address of the daemon beside it\n"
-                         "  --slots N             requests run at a time\n"
-                         "  --service-ms N        service time of a request\n"
-                         "  --cold-start-ms N     time after the start with long service times\n"
-                         "  --cold-factor N       factor on the service time during that time\n"
-                         "  --ignore-grants       run requests whatever was granted\n"
-                         "  --announce-ms N       interval between announcements\n"
-                         "  --drain-ms N          longest wait for running requests at SIGTERM\n"
-                         "  --journal-file PATH   file that lists the begin and end of each run\n";
+constexpr char usage[] =
+    "Usage: upstream_standin [options]\n"
+    "  --service NAME        service of the stand-in\n"
+    "  --instance NAME       name of the instance\n"
+    "  --address IP:PORT     address to listen on; port 0 selects a free port\n"
+    "  --admin IP:PORT       admin address of the local daemon\n"
+    "  --slots N             maximum number of concurrent requests\n"
+    "  --service-ms N        service time of a request in milliseconds\n"
+    "  --cold-start-ms N     time after the start with longer service times\n"
+    "  --cold-factor N       factor on the service time during the cold start\n"
+    "  --ignore-grants       run requests without checking grants\n"
+    "  --announce-ms N       interval between announcements in milliseconds\n"
+    "  --drain-ms N          maximum wait for running requests after SIGTERM\n"
+    "  --journal-file PATH   file that records the begin and end of each run\n";
 
 enum flag {
     Service = 1,
@@ -62,23 +64,23 @@
 struct program_options
 {
     upstream_standin_options standin;
-    milliseconds drainTime{5000};
+    milliseconds drainTimeout{5000};
 };
 
-bool parseMs(const char *text, milliseconds &value)
+bool parseMilliseconds(const char *text, milliseconds &value)
 {
     int64_t number = 0;
-    const bool ok = absl::SimpleAtoi(text, &number) && number >= 0;
+    const bool isValid = absl::SimpleAtoi(text, &number) && number >= 0;
     value = milliseconds(number);
-    return ok;
+    return isValid;
 }
 
 bool parseFlags(int argc, char **argv, program_options &options)
 {
     upstream_standin_options &standin = options.standin;
-    bool ok = true;
+    bool isValid = true;
     int flag = 0;
-    while (ok && (flag = getopt_long(argc, argv, "", flags, nullptr)) != -1) {
+    while (isValid && (flag = getopt_long(argc, argv, "", flags, nullptr)) != -1) {
         switch (flag) {
         case Service:
             standin.service = optarg;
@@ -93,34 +95,35 @@
             standin.adminAddress = optarg;
             break;
         case Slots:
-            ok = absl::SimpleAtoi(optarg, &standin.slots) && standin.slots > 0;
+            isValid = absl::SimpleAtoi(optarg, &standin.slots) && standin.slots > 0;
             break;
         case ServiceMs:
-            ok = parseMs(optarg, standin.serviceTime);
+            isValid = parseMilliseconds(optarg, standin.serviceTime);
             break;
         case ColdStart:
-            ok = parseMs(optarg, standin.coldStart);
+            isValid = parseMilliseconds(optarg, standin.warmUpTime);
             break;
         case ColdFactor:
-            ok = absl::SimpleAtoi(optarg, &standin.coldFactor) && standin.coldFactor > 0;
+            isValid = absl::SimpleAtoi(optarg, &standin.warmUpFactor) && standin.warmUpFactor > 0;
             break;
         case IgnoreGrants:
             standin.checksGrants = false;
             break;
         case AnnounceMs:
-            ok = parseMs(optarg, standin.announceInterval) && standin.announceInterval.count() > 0;
+            isValid = parseMilliseconds(optarg, standin.announceInterval)
+                && standin.announceInterval.count() > 0;
             break;
         case DrainMs:
-            ok = parseMs(optarg, options.drainTime);
+            isValid = parseMilliseconds(optarg, options.drainTimeout);
             break;
         case JournalFile:
             standin.journalFile = optarg;
             break;
         default:
-            ok = false;
+            isValid = false;
         }
     }
-    return ok && optind == argc;
+    return isValid && optind == argc;
 }
 
 } // namespace
@@ -132,7 +135,7 @@
         std::cerr << usage;
         return 2;
     }
-    // Blocked before any thread starts, so that only sigwait() takes the signals.
+    // Blocks the signals before any thread starts, so that only sigwait() receives them.
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
@@ -144,7 +147,7 @@
         std::cerr << standin.status() << "\n";
         return 1;
     }
-    // Scripts read the picked port from this line.
+    // Scripts read the selected port from this line.
     std::cout << "listening on " << (*standin)->address() << std::endl;
     int received = 0;
     sigwait(&signals, &received);
@@ -157,6 +160,6 @@
             return std::none_of(runs.begin(), runs.end(),
                                 [](const auto &run) { return run.state == "running"; });
         },
-        options.drainTime);
+        options.drainTimeout);
     return 0;
 }
