--- a/tests/process/load.cpp
+++ b/tests/process/load.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr unsigned callerCount = 4;
-// Keeps the load of one caller far below the capacity of the site.
-constexpr milliseconds pauseBetweenRequests{4};
+// Keeps the load of each caller far below the capacity of the site.
+constexpr milliseconds requestDelay{4};
 constexpr int maxResends = 2;
 constexpr int parishCount = 32;
 
@@ -24,12 +24,13 @@
     std::map<std::string, journal_run> byEntry;
     for (const auto &instance : site.instances()) {
         std::istringstream lines(readFile(site.folder() + "/" + instance->name + ".journal"));
-        // time, event, entry, request id, method, path, idempotency key, partition, term, state
+        // Fields of a line: time, event, entry, request id, method, path, idempotency key,
+        // partition, term, state
         constexpr size_t fieldCount = 10;
         for (std::string line; std::getline(lines, line);) {
             const std::vector<std::string> fields = absl::StrSplit(line, '\t');
             int64_t time = 0;
-            // A process that is killed while it writes may leave a part of a line.
+            // A process that is killed during a write may leave an incomplete line.
             if (fields.size() != fieldCount || !absl::SimpleAtoi(fields[0], &time)) {
                 continue;
             }
@@ -41,9 +42,9 @@
             run = {instance->name, fields[3], fields[4], fields[5], fields[6], fields[7]};
             (void)absl::SimpleAtoi(fields[8], &run.term);
             run.begin = time;
-            const auto lostAt = instance->lostAt.value_or(std::chrono::steady_clock::now());
+            const auto killedAt = instance->killedAt.value_or(std::chrono::steady_clock::now());
             run.end =
-                std::chrono::duration_cast<std::chrono::microseconds>(lostAt.time_since_epoch())
+                std::chrono::duration_cast<std::chrono::microseconds>(killedAt.time_since_epoch())
                     .count();
         }
     }
@@ -67,7 +68,7 @@
 
 caller_load::~caller_load()
 {
-    m_stopping = true;
+    m_isStopping = true;
     for (auto &thread : m_threads) {
         if (thread.joinable()) {
             thread.join();
@@ -77,14 +78,14 @@
 
 bool caller_load::awaitRuns(int count)
 {
-    const int target = m_runs + count;
-    return awaitTrue([&] { return m_runs >= target; });
+    const int expectedRuns = m_runs + count;
+    return awaitTrue([&] { return m_runs >= expectedRuns; });
 }
 
-void caller_load::avoid(const std::string &instance)
+void caller_load::avoidDaemon(const std::string &instance)
 {
     const std::lock_guard lock(m_mutex);
-    m_avoided.insert(instance);
+    m_avoidedDaemons.insert(instance);
 }
 
 void caller_load::avoidKey(const std::string &key)
@@ -108,7 +109,7 @@
 void caller_load::run(unsigned seed)
 {
     std::mt19937 random(seed);
-    while (!m_stopping) {
+    while (!m_isStopping) {
         const std::string key = chooseKey(random);
         const unsigned kind = random() % 4;
         if (kind == 0) {
@@ -120,7 +121,7 @@
         } else {
             post(random, "/ledger/credits/parish-" + std::to_string(random() % parishCount));
         }
-        std::this_thread::sleep_for(pauseBetweenRequests);
+        std::this_thread::sleep_for(requestDelay);
     }
 }
 
@@ -130,23 +131,24 @@
     const auto &instances = m_site.instances();
     for (;;) {
         const auto &instance = *instances[random() % instances.size()];
-        if (!m_avoided.contains(instance.name)) {
+        if (!m_avoidedDaemons.contains(instance.name)) {
             return instance.callers();
         }
     }
 }
 
-void caller_load::note(const http_reply &reply)
+void caller_load::recordResponse(const client_response &response)
 {
-    if (reply.isRefused) {
+    if (response.isConnectionRefused) {
         return;
     }
-    m_runs += reply.outcome == "run" ? 1 : 0;
-    m_cut += reply.status == 0 ? 1 : 0;
+    m_runs += response.outcome == "run" ? 1 : 0;
+    m_incompleteResponses += response.status == 0 ? 1 : 0;
     const std::lock_guard lock(m_mutex);
-    ++m_outcomes[reply.status == 0 ? "cut" : reply.outcome + " " + reply.reason];
-    if (reply.outcome == "not-run") {
-        m_notRun.insert(reply.requestId);
+    ++m_outcomeCounts[response.status == 0 ? "incomplete"
+                                           : response.outcome + " " + response.reason];
+    if (response.outcome == "not-run") {
+        m_notRunRequestIds.insert(response.requestId);
     }
 }
 
@@ -156,53 +158,56 @@
     std::generate(body.begin(), body.end(), [&] { return static_cast<char>(random()); });
     const std::string checksum = persimmonrail::standinChecksum(body);
     {
-        // Before the request, since a GET may see the body before the answer to the PUT.
+        // Recorded before the request, because a GET may return the body before the response to the
+        // PUT arrives.
         const std::lock_guard lock(m_mutex);
-        m_stored[path].insert(checksum);
+        m_storedChecksums[path].insert(checksum);
     }
-    const auto reply = call("PUT", chooseDaemon(random), path, body);
-    note(reply);
-    // Another PUT may replace the body before the answer is made.
+    const auto response = call("PUT", chooseDaemon(random), path, body);
+    recordResponse(response);
+    // Any checksum of the path is accepted, because a concurrent PUT may replace the body before
+    // the response is sent.
     const std::lock_guard lock(m_mutex);
-    if (reply.ran() && !m_stored[path].contains(reply.checksum)) {
-        m_failures.push_back("PUT " + path + " stored another body");
+    if (response.ran() && !m_storedChecksums[path].contains(response.checksum)) {
+        m_failures.push_back("PUT " + path
+                             + " returned the checksum of a body that no request stored there");
     }
 }
 
 void caller_load::get(std::mt19937 &random, const std::string &path)
 {
-    const auto reply = call("GET", chooseDaemon(random), path);
-    note(reply);
-    // The probe of the fixture stores a body too.
-    if (!reply.ran() || reply.body == "probe") {
+    const auto response = call("GET", chooseDaemon(random), path);
+    recordResponse(response);
+    // site::awaitKeysServed() also stores bodies.
+    if (!response.ran() || response.body == "probe") {
         return;
     }
-    const std::string checksum = persimmonrail::standinChecksum(reply.body);
+    const std::string checksum = persimmonrail::standinChecksum(response.body);
     const std::lock_guard lock(m_mutex);
-    if (checksum != reply.checksum || !m_stored[path].contains(checksum)) {
-        m_failures.push_back("GET " + path + " returned a body that nobody stored there");
+    if (checksum != response.checksum || !m_storedChecksums[path].contains(checksum)) {
+        m_failures.push_back("GET " + path + " returned a body that no request stored there");
     }
 }
 
 void caller_load::post(std::mt19937 &random, const std::string &path)
 {
-    const std::string key = newIdempotencyKey();
+    const std::string key = generateIdempotencyKey();
     bool mayHaveRun = false;
-    for (int i = 0; i <= maxResends && !m_stopping; ++i) {
-        const auto reply = call("POST", chooseDaemon(random), path, "cents=1250", key);
-        note(reply);
-        mayHaveRun = mayHaveRun || (!reply.isRefused && reply.outcome != "not-run");
-        if (reply.ran() && i == 0 && random() % 4 != 0) {
+    for (int i = 0; i <= maxResends && !m_isStopping; ++i) {
+        const auto response = call("POST", chooseDaemon(random), path, "cents=1250", key);
+        recordResponse(response);
+        mayHaveRun = mayHaveRun || (!response.isConnectionRefused && response.outcome != "not-run");
+        if (response.ran() && i == 0 && random() % 4 != 0) {
             return;
         }
     }
     if (!mayHaveRun) {
         const std::lock_guard lock(m_mutex);
-        m_keysNotRun.insert(key);
+        m_notRunKeys.insert(key);
     }
 }
 
-void caller_load::fail(const std::string &text)
+void caller_load::addFailure(const std::string &text)
 {
     const std::lock_guard lock(m_mutex);
     m_failures.push_back(text);
@@ -211,50 +216,52 @@
 void caller_load::checkJournals(const std::vector<journal_run> &runs)
 {
     std::map<std::string, int> runsOfKey;
-    std::map<std::string, const journal_run *> lastOfPartition;
-    std::map<std::string, const journal_run *> longestOfPath;
+    std::map<std::string, const journal_run *> lastRunOfPartition;
+    std::map<std::string, const journal_run *> latestEndingRunOfPath;
     for (const auto &run : runs) {
         if (!run.idempotencyKey.empty() && ++runsOfKey[run.idempotencyKey] == 2) {
-            fail("P5: " + run.method + " " + run.path + " ran twice under " + run.idempotencyKey);
+            addFailure("P5: " + run.method + " " + run.path + " ran twice under "
+                       + run.idempotencyKey);
         }
-        if (m_notRun.contains(run.requestId)) {
-            fail("P4: request " + run.requestId + " was answered not-run, but ran on "
-                 + run.instance);
+        if (m_notRunRequestIds.contains(run.requestId)) {
+            addFailure("P4: request " + run.requestId + " had the outcome not-run, but ran on "
+                       + run.instance);
         }
-        if (m_keysNotRun.contains(run.idempotencyKey)) {
-            fail("P4: every answer for " + run.idempotencyKey + " was not-run, but it ran on "
-                 + run.instance);
+        if (m_notRunKeys.contains(run.idempotencyKey)) {
+            addFailure("P4: every response for " + run.idempotencyKey
+                       + " had the outcome not-run, but the request ran on " + run.instance);
         }
         if (run.partition.empty()) {
             continue;
         }
-        const auto *&last = lastOfPartition[run.partition];
+        const auto *&last = lastRunOfPartition[run.partition];
         if (last != nullptr
             && (run.term < last->term
                 || (run.term == last->term && run.instance != last->instance))) {
-            fail("P1: " + run.partition + " ran on " + last->instance + " with term "
-                 + std::to_string(last->term) + " and then on " + run.instance + " with term "
-                 + std::to_string(run.term));
+            addFailure("P1: partition " + run.partition + " ran on " + last->instance
+                       + " with term " + std::to_string(last->term) + " and then on " + run.instance
+                       + " with term " + std::to_string(run.term));
         }
         last = &run;
-        // Runs of ledger are divided by idempotency key, not by path.
+        // The partition of a ledger request depends on the idempotency key instead of the path.
         if (!run.path.starts_with("/haulbook/")) {
             continue;
         }
-        const auto *&longest = longestOfPath[run.path];
-        if (longest != nullptr && longest->instance != run.instance && run.begin < longest->end) {
-            fail("P1: " + run.path + " ran on " + longest->instance + " and " + run.instance
-                 + " at the same time");
+        const auto *&latestEnding = latestEndingRunOfPath[run.path];
+        if (latestEnding != nullptr && latestEnding->instance != run.instance
+            && run.begin < latestEnding->end) {
+            addFailure("P1: path " + run.path + " ran on " + latestEnding->instance + " and "
+                       + run.instance + " at the same time");
         }
-        if (longest == nullptr || run.end > longest->end) {
-            longest = &run;
+        if (latestEnding == nullptr || run.end > latestEnding->end) {
+            latestEnding = &run;
         }
     }
 }
 
-std::vector<std::string> caller_load::finish()
+std::vector<std::string> caller_load::stopAndCheck()
 {
-    m_stopping = true;
+    m_isStopping = true;
     for (auto &thread : m_threads) {
         thread.join();
     }
@@ -266,7 +273,7 @@
 {
     const std::lock_guard lock(m_mutex);
     std::string text;
-    for (const auto &[outcome, count] : m_outcomes) {
+    for (const auto &[outcome, count] : m_outcomeCounts) {
         text += outcome + ": " + std::to_string(count) + "; ";
     }
     return text;
--- a/tests/process/load.h
+++ b/tests/process/load.h
@@ -13,7 +13,7 @@
 
 namespace process_tests {
 
-// One run of a request, from the journals of the upstreams.
+// One execution of a request, read from the journals of the upstreams.
 struct journal_run
 {
     std::string instance;
@@ -23,17 +23,21 @@
     std::string idempotencyKey;
     std::string partition;
     uint64_t term = 0;
-    // CLOCK_MONOTONIC in microseconds. A run that a killed process did not end ends with it.
+    // Times of CLOCK_MONOTONIC in microseconds. A run that was in progress when its process was
+    // killed ends at the time of the kill.
     int64_t begin = 0;
     int64_t end = 0;
 };
 
-// All runs of a site, ordered by begin.
+// Returns all runs of a site, ordered by `begin`.
 std::vector<journal_run> readJournals(site &site);
 
-// Callers that send PUT, GET and non-repeatable POST requests for keys of haulbook and POST
-// requests to ledger through all daemons, and that resend POST requests with the same idempotency
-// key. Errors are collected as texts.
+// Generates load from several callers through all daemons: PUT, GET and non-repeatable POST
+// requests for keys of the service haulbook, and POST requests to the service ledger. Some POST
+// requests are sent again with the same idempotency key. Checks three guarantees of the product:
+//   P1: a key has at most one owner at any moment.
+//   P4: a request with the outcome "not-run" did not run.
+//   P5: a request that is not repeatable runs at most once.
 class caller_load
 {
 public:
@@ -42,48 +46,51 @@
     caller_load &operator=(const caller_load &) = delete;
     ~caller_load();
 
-    // Waits for this many further answers of upstreams.
+    // Waits for `count` further responses with the outcome "run". Returns false if they don't
+    // arrive within defaultTimeout.
     bool awaitRuns(int count);
-    // No new requests go to the caller port of this instance.
-    void avoid(const std::string &instance);
-    // No new requests for haulbook use this key.
+    // Sends no new requests to the caller address of this instance.
+    void avoidDaemon(const std::string &instance);
+    // Sends no new requests to haulbook with this key.
     void avoidKey(const std::string &key);
-    // No new requests go to ledger.
+    // Sends no new requests to ledger.
     void avoidLedger() { m_avoidsLedger = true; }
-    // Ends the load and returns every violated promise: of the answers (a body that is not the one
-    // stored, a request cut while no daemon was lost) and of the journals (P1, P4, P5).
-    std::vector<std::string> finish();
-    // Requests that were sent and had no complete answer.
-    int cutRequests() const { return m_cut; }
+    // Stops the load and returns a text for each violation: responses with a body or checksum that
+    // no request stored, and journals that contradict P1, P4 or P5.
+    std::vector<std::string> stopAndCheck();
+    // Returns the number of requests that were sent and received no complete response.
+    int incompleteResponses() const { return m_incompleteResponses; }
+    // Returns the number of responses with the outcome "run".
     int runs() const { return m_runs; }
+    // Returns the number of responses for each outcome and reason.
     std::string summary();
 
 private:
     void run(unsigned seed);
     std::string chooseDaemon(std::mt19937 &random);
-    void note(const http_reply &reply);
+    void recordResponse(const client_response &response);
     void put(std::mt19937 &random, const std::string &path);
     void get(std::mt19937 &random, const std::string &path);
     void post(std::mt19937 &random, const std::string &path);
     void checkJournals(const std::vector<journal_run> &runs);
     std::string chooseKey(std::mt19937 &random);
-    void fail(const std::string &text);
+    void addFailure(const std::string &text);
 
     site &m_site;
-    std::atomic<bool> m_stopping = false;
+    std::atomic<bool> m_isStopping = false;
     std::atomic<bool> m_avoidsLedger = false;
     std::atomic<int> m_runs = 0;
-    std::atomic<int> m_cut = 0;
+    std::atomic<int> m_incompleteResponses = 0;
     std::mutex m_mutex;
-    std::set<std::string> m_avoided;
+    std::set<std::string> m_avoidedDaemons;
     std::set<std::string> m_avoidedKeys;
-    std::map<std::string, int> m_outcomes;
-    // Request ids answered "not-run".
-    std::set<std::string> m_notRun;
-    // Idempotency keys whose answers all were "not-run".
-    std::set<std::string> m_keysNotRun;
-    // Checksums of all bodies sent to a path.
-    std::map<std::string, std::set<std::string>> m_stored;
+    std::map<std::string, int> m_outcomeCounts;
+    // Ids of requests with the outcome "not-run".
+    std::set<std::string> m_notRunRequestIds;
+    // Idempotency keys whose responses all had the outcome "not-run".
+    std::set<std::string> m_notRunKeys;
+    // Checksums of all bodies sent to each path.
+    std::map<std::string, std::set<std::string>> m_storedChecksums;
     std::vector<std::string> m_failures;
     std::vector<std::thread> m_threads;
 };
--- a/tests/process/operations_test.cpp
+++ b/tests/process/operations_test.cpp
@@ -1,4 +1,4 @@
-// Operators' actions on a running site: configuration changes and planned stops.
+// Tests operators' actions on a running site: configuration changes and planned stops.
 #include "process/load.h"
 
 #include <Poco/JSON/Array.h>
@@ -12,11 +12,11 @@
 
 namespace {
 
-std::string replaced(std::string text, const std::string &what, const std::string &with)
+std::string replaceFirst(std::string text, const std::string &from, const std::string &to)
 {
-    const size_t at = text.find(what);
-    REQUIRE(at != std::string::npos);
-    return text.replace(at, what.size(), with);
+    const size_t position = text.find(from);
+    REQUIRE(position != std::string::npos);
+    return text.replace(position, from.size(), to);
 }
 
 std::string exampleDocument()
@@ -24,35 +24,37 @@
     return readFile(std::string(EXAMPLE_DIR) + "/haulbook.json");
 }
 
-uint64_t versionOf(const site &all, const std::string &key)
+uint64_t versionOf(const site &testSite, const std::string &key)
 {
-    return parseJson(call("GET", all.platform(), "/v1/objects/" + key).body)
+    return parseJson(call("GET", testSite.platform(), "/v1/objects/" + key).body)
         ->getValue<uint64_t>("version");
 }
 
 } // namespace
 
-// Guards against a lost update: both operators believing that their document is in force.
-TEST_CASE("Of two operators who apply a document at once exactly one wins", "[operations]")
+// Guards against a lost update: two concurrent conditional writes must not both report success.
+TEST_CASE("Exactly one of two operators who apply a document at the same time succeeds",
+          "[operations]")
 {
-    site all;
+    site testSite;
     for (int round = 0; round < 5; ++round) {
-        const auto version = std::to_string(versionOf(all, "config/haulbook"));
+        const auto version = std::to_string(versionOf(testSite, "config/haulbook"));
         std::vector<std::unique_ptr<child_process>> operators;
         std::vector<std::string> texts;
         for (int i = 0; i < 2; ++i) {
-            texts.push_back(replaced(exampleDocument(), "\"timeout_ms\": 1000",
-                                     "\"timeout_ms\": " + std::to_string(1001 + 2 * round + i)));
-            const auto file = all.dataFile("operator-" + std::to_string(i), texts.back());
+            texts.push_back(
+                replaceFirst(exampleDocument(), "\"timeout_ms\": 1000",
+                             "\"timeout_ms\": " + std::to_string(1001 + 2 * round + i)));
+            const auto file = testSite.dataFile("operator-" + std::to_string(i), texts.back());
             operators.push_back(std::make_unique<child_process>(
                 "persimmonctl",
-                std::vector<std::string>{"apply", file, "--platform-address", all.platform(),
+                std::vector<std::string>{"apply", file, "--platform-address", testSite.platform(),
                                          "--expect-version", version},
                 file + ".out"));
         }
         int winner = -1;
         for (int i = 0; i < 2; ++i) {
-            const auto code = operators[static_cast<size_t>(i)]->awaitExit(2 * waitBound);
+            const auto code = operators[static_cast<size_t>(i)]->awaitExit(2 * defaultTimeout);
             const auto output = operators[static_cast<size_t>(i)]->output();
             CAPTURE(round, i, output);
             REQUIRE(code.has_value());
@@ -64,72 +66,78 @@
             }
         }
         REQUIRE(winner != -1);
-        CHECK(all.object("config/haulbook") == texts[static_cast<size_t>(winner)]);
-        CHECK(parseJson(all.object("accepted/haulbook"))->getValue<std::string>("document")
-              == texts[static_cast<size_t>(winner)]);
+        CHECK(testSite.objectValue("config/haulbook") == texts[static_cast<size_t>(winner)]);
+        CHECK(
+            parseJson(testSite.objectValue("accepted/haulbook"))->getValue<std::string>("document")
+            == texts[static_cast<size_t>(winner)]);
     }
 }
 
-// Guards against an invalid document taking effect, and against verdicts without a place.
+// Guards against an invalid document that takes effect, and against error messages that don't name
+// the faulty part of the document.
 TEST_CASE("An invalid document is rejected with its errors and changes nothing", "[operations]")
 {
-    site all;
-    const auto accepted = all.object("accepted/haulbook");
-    auto text = replaced(exampleDocument(), "\"rank\": \"crew\"", "\"rank\": \"nobody\"");
-    text = replaced(text, "\"floor\": 0.4", "\"floor\": 7");
-    // persimmonctl would refuse the file, so it is stored directly.
-    const auto version = versionOf(all, "config/haulbook");
-    REQUIRE(call("PUT", all.platform(),
+    site testSite;
+    const auto accepted = testSite.objectValue("accepted/haulbook");
+    auto text = replaceFirst(exampleDocument(), "\"rank\": \"crew\"", "\"rank\": \"nobody\"");
+    text = replaceFirst(text, "\"floor\": 0.4", "\"floor\": 7");
+    // persimmonctl would reject the document, so the test writes the document to the platform
+    // itself.
+    const auto version = versionOf(testSite, "config/haulbook");
+    REQUIRE(call("PUT", testSite.platform(),
                  "/v1/objects/config/haulbook?version=" + std::to_string(version), text)
                 .status
             == 200);
     REQUIRE(awaitTrue([&] {
-        return parseJson(all.object("status/haulbook"))->optValue<std::string>("state", "")
+        return parseJson(testSite.objectValue("status/haulbook"))
+                   ->optValue<std::string>("state", "")
             == "rejected";
     }));
-    const auto status = all.object("status/haulbook");
+    const auto status = testSite.objectValue("status/haulbook");
     CAPTURE(status);
     CHECK(status.find("operations") != std::string::npos);
     CHECK(status.find("floor") != std::string::npos);
     CHECK(parseJson(status)->getArray("errors")->size() >= 2);
-    CHECK(all.object("accepted/haulbook") == accepted);
-    CHECK(site::awaitServed(all.instance("ledger-0"), site::probeKeys()));
-    // Keys issued before the tenure of the owner are refused, so each attempt has a new one.
+    CHECK(testSite.objectValue("accepted/haulbook") == accepted);
+    CHECK(site::awaitKeysServed(testSite.instance("ledger-0"), site::probeKeys()));
+    // The owner rejects idempotency keys issued before its tenure, so each attempt uses a new key.
     CHECK(awaitTrue([&] {
-        return call("POST", all.instance("ledger-0").callers(), "/ledger/credits/parish-1",
-                    "cents=1", newIdempotencyKey())
+        return call("POST", testSite.instance("ledger-0").callers(), "/ledger/credits/parish-1",
+                    "cents=1", generateIdempotencyKey())
             .ran();
     }));
     // A corrected document is accepted afterwards.
-    const auto file = all.dataFile(
-        "corrected", replaced(exampleDocument(), "\"timeout_ms\": 1000", "\"timeout_ms\": 1001"));
-    child_process apply("persimmonctl", {"apply", file, "--platform-address", all.platform()},
+    const auto file = testSite.dataFile(
+        "corrected",
+        replaceFirst(exampleDocument(), "\"timeout_ms\": 1000", "\"timeout_ms\": 1001"));
+    child_process apply("persimmonctl", {"apply", file, "--platform-address", testSite.platform()},
                         file + ".out");
-    CHECK(apply.awaitExit(2 * waitBound) == 0);
+    CHECK(apply.awaitExit(2 * defaultTimeout) == 0);
 }
 
-// Guards against a planned stop that cuts requests, keeps keys unserved or leaves its member
-// record.
-TEST_CASE("SIGTERM under load cuts no request and hands over all keys", "[operations]")
+// Guards against a planned stop that leaves requests without a complete response, leaves keys
+// unserved, or leaves the member record of the stopped daemon on the platform.
+TEST_CASE("SIGTERM under load leaves no request without a response and transfers all keys",
+          "[operations]")
 {
-    site all;
-    caller_load load(all);
+    site testSite;
+    caller_load load(testSite);
     REQUIRE(load.awaitRuns(200));
-    auto &stopped = all.instance(site::ownerOf(*all.instances().front(), "basin-1"));
+    auto &stopped = testSite.instance(site::ownerOf(*testSite.instances().front(), "basin-1"));
     stopped.daemon->signal(SIGTERM);
-    CHECK(stopped.daemon->awaitExit(2 * waitBound) == 0);
-    load.avoid(stopped.name);
-    CHECK(all.object("member/" + stopped.name).empty());
-    CHECK(site::awaitServed(all.instance("ledger-0"), site::probeKeys()));
+    CHECK(stopped.daemon->awaitExit(2 * defaultTimeout) == 0);
+    load.avoidDaemon(stopped.name);
+    CHECK(testSite.objectValue("member/" + stopped.name).empty());
+    CHECK(site::awaitKeysServed(testSite.instance("ledger-0"), site::probeKeys()));
     CHECK(load.awaitRuns(200));
-    const auto failures = load.finish();
+    const auto failures = load.stopAndCheck();
     for (const auto &failure : failures) {
         UNSCOPED_INFO(failure);
     }
     CHECK(failures.empty());
-    CAPTURE(all.folder(), load.summary());
-    CHECK(load.cutRequests() == 0);
-    const auto records = all.placements("haulbook");
+    CAPTURE(testSite.folder(), load.summary());
+    CHECK(load.incompleteResponses() == 0);
+    const auto records = testSite.placements("haulbook");
     CHECK(std::none_of(records.begin(), records.end(),
                        [&](const auto &record) { return record.owner.name == stopped.name; }));
     WARN("graceful stop, load: " << load.summary());
--- a/tests/process/site.cpp
+++ b/tests/process/site.cpp
@@ -29,14 +29,15 @@
 namespace {
 
 constexpr milliseconds pollInterval{20};
-// One machine has one clock. Short, since a daemon refuses keys issued before its tenure plus this.
+// Short, because a daemon rejects idempotency keys issued before the start of its tenure plus this
+// allowance. All processes of a site share one clock.
 constexpr char clockSkewAllowanceMs[] = "100";
 constexpr std::array<const char *, 3> zones = {"bayern-nord", "bayern-mitte", "bayern-sued"};
 
-void require(bool condition, const std::string &what)
+void require(bool condition, const std::string &message)
 {
     if (!condition) {
-        throw std::runtime_error(what);
+        throw std::runtime_error(message);
     }
 }
 
@@ -47,9 +48,9 @@
 
 } // namespace
 
-bool awaitTrue(const std::function<bool()> &condition, milliseconds bound)
+bool awaitTrue(const std::function<bool()> &condition, milliseconds timeout)
 {
-    const auto end = std::chrono::steady_clock::now() + bound;
+    const auto end = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() >= end) {
             return false;
@@ -106,8 +107,8 @@
 
 void child_process::signal(int number) const
 {
-    // The id of a reaped process may belong to another one.
-    if (!m_exit) {
+    // The id of a reaped process may belong to another process.
+    if (!m_exitCode) {
         kill(m_pid, number);
     }
 }
@@ -118,18 +119,18 @@
     awaitExit();
 }
 
-std::optional<int> child_process::awaitExit(milliseconds bound)
+std::optional<int> child_process::awaitExit(milliseconds timeout)
 {
     awaitTrue(
         [this] {
             int status = 0;
-            if (!m_exit && waitpid(m_pid, &status, WNOHANG) == m_pid) {
-                m_exit = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+            if (!m_exitCode && waitpid(m_pid, &status, WNOHANG) == m_pid) {
+                m_exitCode = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
             }
-            return m_exit.has_value();
+            return m_exitCode.has_value();
         },
-        bound);
-    return m_exit;
+        timeout);
+    return m_exitCode;
 }
 
 std::string child_process::output() const
@@ -137,10 +138,11 @@
     return readFile(m_outputFile);
 }
 
-http_reply call(const std::string &method, const std::string &address, const std::string &path,
-                const std::string &body, const std::string &idempotencyKey, milliseconds timeout)
+client_response call(const std::string &method, const std::string &address, const std::string &path,
+                     const std::string &body, const std::string &idempotencyKey,
+                     milliseconds timeout)
 {
-    http_reply reply;
+    client_response response;
     try {
         Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(address)};
         session.setTimeout(toTimespan(timeout));
@@ -155,24 +157,24 @@
         Poco::StreamCopier::copyToString(session.receiveResponse(head), content);
         if (head.hasContentLength()
             && head.getContentLength64() != static_cast<int64_t>(content.size())) {
-            return reply;
+            return response;
         }
-        reply = {head.getStatus(),
-                 false,
-                 head.get("Persimmonrail-Outcome", ""),
-                 head.get("Persimmonrail-Reason", ""),
-                 head.get("Persimmonrail-Request-Id", ""),
-                 head.get("X-Checksum", ""),
-                 content};
+        response = {head.getStatus(),
+                    false,
+                    head.get("Persimmonrail-Outcome", ""),
+                    head.get("Persimmonrail-Reason", ""),
+                    head.get("Persimmonrail-Request-Id", ""),
+                    head.get("X-Checksum", ""),
+                    content};
     } catch (const Poco::Net::ConnectionRefusedException &) {
-        reply.isRefused = true;
+        response.isConnectionRefused = true;
     } catch (const Poco::Exception &) {
-        reply.status = 0;
+        response.status = 0;
     }
-    return reply;
+    return response;
 }
 
-std::string newIdempotencyKey()
+std::string generateIdempotencyKey()
 {
     static std::mutex mutex;
     static std::mt19937_64 random(std::random_device{}());
@@ -199,18 +201,18 @@
                                                  m_folder + "/platform.out");
     const std::string marker = "listening on ";
     require(awaitTrue([&] { return m_platform->output().find('\n') != std::string::npos; }),
-            "the platform stand-in does not start");
+            "the platform stand-in did not start");
     m_platformAddress = m_platform->output().substr(marker.size());
     m_platformAddress.pop_back();
 
-    const std::string net = "127." + std::to_string(20 + getpid() % 200) + "."
+    const std::string networkPrefix = "127." + std::to_string(20 + getpid() % 200) + "."
         + std::to_string((getpid() / 200 + number) % 250) + ".";
     for (int i = 0; i < 7; ++i) {
         auto created = std::make_unique<site_instance>();
         created->service = i < 4 ? "haulbook" : "ledger";
         created->name = created->service + "-" + std::to_string(i < 4 ? i : i - 4);
         created->zone = zones[(i < 4 ? i : i - 4) % 3];
-        created->ip = net + std::to_string(i + 1);
+        created->ip = networkPrefix + std::to_string(i + 1);
         m_instances.push_back(std::move(created));
     }
     for (auto &instance : m_instances) {
@@ -218,16 +220,18 @@
         startUpstream(*instance);
     }
     for (auto &instance : m_instances) {
-        require(awaitTrue([&] { return isReady(*instance); }), instance->name + " is not ready");
+        require(awaitTrue([&] { return isReady(*instance); }),
+                instance->name + " did not become ready");
     }
     for (const char *service : {"haulbook", "ledger"}) {
         child_process apply("persimmonctl",
                             {"apply", std::string(EXAMPLE_DIR) + "/" + service + ".json",
                              "--platform-address", m_platformAddress},
                             m_folder + "/apply.out");
-        require(apply.awaitExit(2 * waitBound) == 0, "apply fails: " + apply.output());
+        require(apply.awaitExit(2 * defaultTimeout) == 0,
+                "persimmonctl apply failed: " + apply.output());
     }
-    require(awaitServed(*m_instances.front(), probeKeys()), "the probe keys are not served");
+    require(awaitKeysServed(*m_instances.front(), probeKeys()), "the probe keys are not served");
 }
 
 site::~site()
@@ -237,7 +241,7 @@
         instance->upstream.reset();
     }
     m_platform.reset();
-    // Kept for the search of a cause on request.
+    // KEEP_PROCESS_LOGS keeps the logs for the analysis of a failure.
     if (std::getenv("KEEP_PROCESS_LOGS") == nullptr) {
         std::filesystem::remove_all(m_folder);
     }
@@ -250,7 +254,7 @@
             return *instance;
         }
     }
-    throw std::runtime_error("no instance " + name);
+    throw std::runtime_error("the site has no instance " + name);
 }
 
 void site::startDaemon(site_instance &instance) const
@@ -312,25 +316,26 @@
     instance.upstream->signal(SIGKILL);
     instance.daemon->killAndReap();
     instance.upstream->killAndReap();
-    instance.lostAt = std::chrono::steady_clock::now();
+    instance.killedAt = std::chrono::steady_clock::now();
 }
 
-void site::control(const std::string &command) const
+void site::sendPlatformCommand(const std::string &command) const
 {
-    require(call("POST", m_platformAddress, "/control/" + command).status == 200, command);
+    require(call("POST", m_platformAddress, "/control/" + command).status == 200,
+            "the platform stand-in rejected the control command " + command);
 }
 
-std::string site::object(const std::string &key) const
+std::string site::objectValue(const std::string &key) const
 {
-    const auto reply = call("GET", m_platformAddress, "/v1/objects/" + key);
-    return reply.status == 200 ? parseJson(reply.body)->getValue<std::string>("value") : "";
+    const auto response = call("GET", m_platformAddress, "/v1/objects/" + key);
+    return response.status == 200 ? parseJson(response.body)->getValue<std::string>("value") : "";
 }
 
 std::vector<persimmonrail::placement_record> site::placements(const std::string &service) const
 {
-    const auto reply =
+    const auto response =
         call("GET", m_platformAddress, "/v1/objects?prefix=placement/" + service + "/");
-    const auto objects = parseJson(reply.body)->getArray("objects");
+    const auto objects = parseJson(response.body)->getArray("objects");
     std::vector<persimmonrail::placement_record> result;
     for (size_t i = 0; objects && i < objects->size(); ++i) {
         const auto value =
@@ -355,7 +360,7 @@
 
 std::vector<std::string> site::probeKeys()
 {
-    // Enough keys to reach nearly all of the 16 partitions.
+    // 32 keys fall into nearly all of the 16 partitions.
     std::vector<std::string> keys(32);
     for (size_t i = 0; i < keys.size(); ++i) {
         keys[i] = "basin-" + std::to_string(i);
@@ -363,13 +368,13 @@
     return keys;
 }
 
-bool site::awaitServed(const site_instance &through, const std::vector<std::string> &keys)
+bool site::awaitKeysServed(const site_instance &through, const std::vector<std::string> &keys)
 {
     for (const auto &key : keys) {
         const auto put = [&] {
             return call("PUT", through.callers(), "/haulbook/hauls/" + key, "probe").ran();
         };
-        if (!awaitTrue(put, 2 * waitBound)) {
+        if (!awaitTrue(put, 2 * defaultTimeout)) {
             return false;
         }
     }
--- a/tests/process/site.h
+++ b/tests/process/site.h
@@ -19,18 +19,19 @@
 using std::chrono::milliseconds;
 using steady_time = std::chrono::steady_clock::time_point;
 
-// Bound of every wait. The product's target for a lost key is 2 s and is measured by
-// tools/measure-ownership; a test on a busy machine only checks that the condition comes true.
-inline constexpr milliseconds waitBound{20'000};
+// Default timeout of a wait. The product's objective is to serve the keys of a lost owner again
+// within 2 s, which tools/measure-ownership measures; the tests, which may run on a busy machine,
+// only check that the condition becomes true.
+inline constexpr milliseconds defaultTimeout{20'000};
 
-// Polls `condition`; false if it does not hold within the bound.
-bool awaitTrue(const std::function<bool()> &condition, milliseconds bound = waitBound);
+// Polls `condition` until it holds. Returns false if `condition` does not hold within `timeout`.
+bool awaitTrue(const std::function<bool()> &condition, milliseconds timeout = defaultTimeout);
 
-// A program of the build folder as a child process. Killed at destruction.
+// A program of the build folder that runs as a child process. The destructor kills the process.
 class child_process
 {
 public:
-    // Standard output and error go to `outputFile`.
+    // Starts the program. Standard output and standard error are written to `outputFile`.
     child_process(const std::string &program, std::vector<std::string> arguments,
                   std::string outputFile);
     child_process(const child_process &) = delete;
@@ -38,24 +39,28 @@
     ~child_process();
 
     pid_t pid() const { return m_pid; }
+    // Sends a signal, unless the process is known to have ended.
     void signal(int number) const;
     void killAndReap();
-    // Exit code, or -1 if a signal ended it; nullopt if it still runs after the bound.
-    std::optional<int> awaitExit(milliseconds bound = waitBound);
+    // Waits for the end of the process. Returns the exit code, -1 if a signal ended the process, or
+    // nullopt if the process still runs after `timeout`.
+    std::optional<int> awaitExit(milliseconds timeout = defaultTimeout);
+    // Returns the output written so far.
     std::string output() const;
 
 private:
     const std::string m_outputFile;
     pid_t m_pid = 0;
-    std::optional<int> m_exit;
+    std::optional<int> m_exitCode;
 };
 
-struct http_reply
+// The result of a request, with the fields of the response that tests check.
+struct client_response
 {
-    // 0 if no complete answer arrived.
+    // HTTP status, or 0 if no complete response arrived.
     int status = 0;
     // Whether the connection was refused, so that nothing was sent.
-    bool isRefused = false;
+    bool isConnectionRefused = false;
     std::string outcome;
     std::string reason;
     std::string requestId;
@@ -65,13 +70,15 @@
     bool ran() const { return status == 200 && outcome == "run"; }
 };
 
-http_reply call(const std::string &method, const std::string &address, const std::string &path,
-                const std::string &body = {}, const std::string &idempotencyKey = {},
-                milliseconds timeout = milliseconds(10'000));
+// Sends a request over a new connection and waits for the response.
+client_response call(const std::string &method, const std::string &address, const std::string &path,
+                     const std::string &body = {}, const std::string &idempotencyKey = {},
+                     milliseconds timeout = milliseconds(10'000));
 
-// UUID of version 7 with the current time.
-std::string newIdempotencyKey();
+// Returns a UUID of version 7 with the current time. Thread-safe.
+std::string generateIdempotencyKey();
 
+// An upstream and the daemon beside it.
 struct site_instance
 {
     std::string name;
@@ -80,46 +87,60 @@
     std::string ip;
     std::unique_ptr<child_process> daemon;
     std::unique_ptr<child_process> upstream;
-    // When its upstream was killed.
-    std::optional<steady_time> lostAt;
+    // When lose() killed the upstream.
+    std::optional<steady_time> killedAt;
 
+    // Addresses of the daemon.
     std::string callers() const { return ip + ":7101"; }
     std::string admin() const { return ip + ":7104"; }
 };
 
-// The platform stand-in, 4 instances of haulbook and 3 of ledger (started with --ignore-grants)
-// over three availability zones, on loopback addresses derived from the process id.
+// A site of child processes: the platform stand-in, 4 instances of the service haulbook, whose keys
+// are owned exclusively, and 3 instances of the service ledger, whose upstreams don't check grants.
+// The instances are spread over three availability zones. The loopback addresses are derived from
+// the process id and the number of the site in the process, to keep concurrent sites apart.
 class site
 {
 public:
-    // Returns when every daemon is ready and every probe key is served.
+    // Starts all processes, applies the example documents, and returns when every daemon is ready
+    // and every probe key is served. Throws std::runtime_error if a step fails.
     site();
     ~site();
 
+    // Throws std::runtime_error if there is no such instance.
     site_instance &instance(const std::string &name);
     std::vector<std::unique_ptr<site_instance>> &instances() { return m_instances; }
+    // Returns the address of the platform stand-in.
     const std::string &platform() const { return m_platformAddress; }
+    // Returns the folder of the logs, journals and outputs.
     const std::string &folder() const { return m_folder; }
 
     void startDaemon(site_instance &instance) const;
     void startUpstream(site_instance &instance) const;
-    // SIGKILL for both processes of the instance.
+    // Kills the daemon and the upstream of the instance with SIGKILL.
     static void lose(site_instance &instance);
-    // POST to the platform's control path, e.g. "outage?state=on".
-    void control(const std::string &command) const;
-    // The platform's value of a key as text; empty if there is none.
-    std::string object(const std::string &key) const;
+    // Sends a control command to the platform stand-in, e.g. "outage?state=on". Throws
+    // std::runtime_error if the stand-in rejects the command.
+    void sendPlatformCommand(const std::string &command) const;
+    // Returns the value that the platform stores under `key`, or an empty string if there is none.
+    std::string objectValue(const std::string &key) const;
+    // Returns the placement records of all partitions of the service.
     std::vector<persimmonrail::placement_record> placements(const std::string &service) const;
-    // The daemon's answer of /v1/explain for a key of haulbook.
+    // Returns the daemon's /v1/explain response for a key of haulbook.
     static Poco::JSON::Object::Ptr explain(const site_instance &through, const std::string &key);
 
-    // Name of the recorded owner of a key of haulbook in the daemon's view.
+    // Returns the instance name of the recorded owner of a key of haulbook, as the daemon of
+    // `through` reports.
     static std::string ownerOf(const site_instance &through, const std::string &key);
 
+    // Returns the keys of haulbook that tests send requests for.
     static std::vector<std::string> probeKeys();
-    // Whether each key accepts a PUT through the daemon within the bound.
-    static bool awaitServed(const site_instance &through, const std::vector<std::string> &keys);
+    // Sends PUT requests through the daemon until each key has accepted one. Returns false if a key
+    // accepts none within 2 * defaultTimeout.
+    static bool awaitKeysServed(const site_instance &through, const std::vector<std::string> &keys);
+    // Returns whether /readyz of the daemon reports ready.
     static bool isReady(const site_instance &instance);
+    // Writes a file into folder() and returns its path.
     std::string dataFile(const std::string &name, const std::string &text) const;
 
 private:
@@ -129,7 +150,9 @@
     std::vector<std::unique_ptr<site_instance>> m_instances;
 };
 
+// Returns an empty object if `text` is no JSON object.
 Poco::JSON::Object::Ptr parseJson(const std::string &text);
+// Returns an empty string if the file can't be read.
 std::string readFile(const std::string &path);
 
 } // namespace process_tests
