--- a/tests/process/failover_test.cpp
+++ b/tests/process/failover_test.cpp
@@ -1,4 +1,5 @@
-// Tests real processes under load while processes are killed or suspended and the platform fails.
+// Tests a site of real processes under load while processes are killed or suspended, or the
+// platform fails.
 // Each scenario guards against two owners of a key, a request that runs twice or despite the
 // outcome "not-run", a wrong response body, and keys that are not served again after the failure.
 #include "process/load.h"
--- a/tests/process/load.h
+++ b/tests/process/load.h
@@ -62,7 +62,7 @@
     int incompleteResponses() const { return m_incompleteResponses; }
     // Returns the number of responses with the outcome "run".
     int runs() const { return m_runs; }
-    // Returns the number of responses for each outcome and reason.
+    // Returns a text with the number of responses for each outcome and reason.
     std::string summary();
 
 private:
--- a/tests/standins/json_server.cpp
+++ b/tests/standins/json_server.cpp
@@ -17,7 +17,7 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-// Each connection occupies a thread, also while its watch request waits.
+// Each connection occupies a thread, also while a watch request waits for changes.
 constexpr int maxThreads = 1'024;
 
 json_call readCall(HTTPServerRequest &request, size_t maxBodyBytes)
--- a/tests/standins/platform_standin.cpp
+++ b/tests/standins/platform_standin.cpp
@@ -99,7 +99,8 @@
     json_response serveControl(const json_call &call);
     std::optional<json_response> serveObjectApi(const json_call &call);
     // The functions below require m_mutex to be held.
-    // Both count the request and return whether the rate budget admits it.
+    // admitRead() and admitWrite() count the request and return whether the rate budget admits the
+    // request.
     bool admitRead();
     bool admitWrite();
     json_response readObject(const std::string &key) const;
--- a/tests/standins/upstream_standin.cpp
+++ b/tests/standins/upstream_standin.cpp
@@ -109,7 +109,8 @@
     for (;;) {
         const upstream_announcement current = announcement();
         wasAnnouncedDraining = current.draining;
-        // A failed announcement is ignored, because the next one follows after the interval.
+        // A failed announcement is ignored, because the next announcement follows after the
+        // interval.
         const auto ignoredResult =
             simpleRequest(client, m_options.adminAddress, "POST", "/v1/announce",
                           encodeAnnouncement(current), currentTime() + m_options.announceInterval);
