--- a/src/persimmonrail/admission/admission_queue.cpp
+++ b/src/persimmonrail/admission/admission_queue.cpp
@@ -134,7 +134,7 @@
     return ahead * m_ranks[rank].meanServiceTime / (limit * availableShare(rank));
 }
 
-queue_refusal admission_queue::makeRejection(std::string reason, size_t rank) const
+queue_rejection admission_queue::makeRejection(std::string reason, size_t rank) const
 {
     const auto wait = static_cast<int64_t>(std::ceil(expectedWait(rank) * 1000));
     return {std::move(reason), milliseconds(std::max<int64_t>(wait, 1))};
@@ -142,12 +142,13 @@
 
 size_t admission_queue::maxWaiting() const
 {
-    return static_cast<size_t>(m_options.queuePerSlot) * static_cast<size_t>(m_slots);
+    return static_cast<size_t>(m_options.maxWaitingPerSlot) * static_cast<size_t>(m_slots);
 }
 
-std::variant<uint64_t, queue_refusal> admission_queue::submit(size_t rank,
-                                                              std::string_view subsidiary,
-                                                              steady_time deadline, steady_time now)
+std::variant<uint64_t, queue_rejection> admission_queue::submit(size_t rank,
+                                                                std::string_view subsidiary,
+                                                                steady_time deadline,
+                                                                steady_time now)
 {
     updateUsage(now);
     rank = std::min(rank, m_ranks.size() - 1);
--- a/src/persimmonrail/admission/admission_queue.h
+++ b/src/persimmonrail/admission/admission_queue.h
@@ -19,7 +19,7 @@
 struct admission_options
 {
     // Maximum number of waiting requests of a rank, per slot of the upstream.
-    int queuePerSlot = 4;
+    int maxWaitingPerSlot = 4;
     // Initial value of the moving average of the service time of a rank.
     milliseconds initialServiceTime{5};
     // When a rank tracks this many subsidiaries and a new one arrives, the slot time of all
@@ -28,7 +28,7 @@
 };
 
 // The reason why a request is rejected. A rejected request did not run.
-struct queue_refusal
+struct queue_rejection
 {
     // "overload" (the queue is full) or "deadline-unreachable".
     std::string reason;
@@ -37,11 +37,11 @@
     milliseconds retryAfter{0};
 };
 
-// The decision on a waiting request: the request starts, or is rejected if `refusal` is set.
+// The decision on a waiting request: the request starts, or is rejected if `rejection` is set.
 struct queue_decision
 {
     uint64_t id = 0;
-    std::optional<queue_refusal> refusal;
+    std::optional<queue_rejection> rejection;
 };
 
 // Decides which requests use the slots of one upstream.
@@ -69,8 +69,8 @@
 
     // Enqueues a request and returns its id, or returns a rejection. poll() decides on enqueued
     // requests. A `rank` beyond the last rank counts as the last. `subsidiary` may be empty.
-    std::variant<uint64_t, queue_refusal> submit(size_t rank, std::string_view subsidiary,
-                                                 steady_time deadline, steady_time now);
+    std::variant<uint64_t, queue_rejection> submit(size_t rank, std::string_view subsidiary,
+                                                   steady_time deadline, steady_time now);
     // Starts waiting requests while the concurrency limit allows it. Returns the decisions made
     // since the last call, including rejections of requests that submit() evicted. Call after each
     // submit(), finish() and cancel().
@@ -129,7 +129,7 @@
     void updateUsage(steady_time now);
     double availableShare(size_t rank) const;
     double expectedWait(size_t rank) const;
-    queue_refusal makeRejection(std::string reason, size_t rank) const;
+    queue_rejection makeRejection(std::string reason, size_t rank) const;
     size_t maxWaiting() const;
     bool evictFromLongestQueue(rank_state &rank, std::string_view subsidiary);
     std::optional<size_t> chooseRank() const;
--- a/src/persimmonrail/admission/rank_admission.cpp
+++ b/src/persimmonrail/admission/rank_admission.cpp
@@ -149,14 +149,14 @@
 {
     const admission_source source = m_state->readSource();
     if (source.slots <= 0) {
-        return admission_refusal{"upstream-down", defaultRetryAfter};
+        return admission_rejection{"upstream-down", defaultRetryAfter};
     }
     std::unique_lock lock(m_state->mutex);
     m_state->applySource(m_state->options, source, now);
     auto submitted =
         m_state->queue->submit(request.rank, request.subsidiary, request.deadline, now);
-    if (auto *const refusal = std::get_if<queue_refusal>(&submitted)) {
-        return admission_refusal{std::move(refusal->reason), refusal->retryAfter};
+    if (auto *const rejection = std::get_if<queue_rejection>(&submitted)) {
+        return admission_rejection{std::move(rejection->reason), rejection->retryAfter};
     }
     const uint64_t id = std::get<uint64_t>(submitted);
     waiter self;
@@ -167,11 +167,11 @@
     m_state->waiters.erase(id);
     if (!isDecided) {
         m_state->queue->cancel(id);
-        return admission_refusal{"deadline-unreachable", defaultRetryAfter};
+        return admission_rejection{"deadline-unreachable", defaultRetryAfter};
     }
-    if (self.decision->refusal) {
-        return admission_refusal{self.decision->refusal->reason,
-                                 self.decision->refusal->retryAfter};
+    if (self.decision->rejection) {
+        return admission_rejection{self.decision->rejection->reason,
+                                   self.decision->rejection->retryAfter};
     }
     return std::make_unique<rank_ticket<state>>(m_state, id);
 }
--- a/src/persimmonrail/admission/tests/admission_queue_test.cpp
+++ b/src/persimmonrail/admission/tests/admission_queue_test.cpp
@@ -24,17 +24,17 @@
     return std::holds_alternative<uint64_t>(result) ? std::get<uint64_t>(result) : 0;
 }
 
-queue_refusal rejectionOf(const std::variant<uint64_t, queue_refusal> &result)
+queue_rejection rejectionOf(const std::variant<uint64_t, queue_rejection> &result)
 {
-    REQUIRE(std::holds_alternative<queue_refusal>(result));
-    return std::get<queue_refusal>(result);
+    REQUIRE(std::holds_alternative<queue_rejection>(result));
+    return std::get<queue_rejection>(result);
 }
 
 std::vector<uint64_t> startedIds(const std::vector<queue_decision> &decisions)
 {
     std::vector<uint64_t> ids;
     for (const queue_decision &decision : decisions) {
-        if (!decision.refusal) {
+        if (!decision.rejection) {
             ids.push_back(decision.id);
         }
     }
@@ -190,7 +190,7 @@
     const auto decisions = queue.poll(start + 49ms);
     REQUIRE(decisions.size() == 2);
     CHECK(decisions[0].id == lateRequest);
-    CHECK(decisions[0].refusal.value().reason == "deadline-unreachable");
+    CHECK(decisions[0].rejection.value().reason == "deadline-unreachable");
     CHECK(startedIds(decisions) == std::vector{punctualRequest});
 }
 
@@ -223,7 +223,8 @@
     const admission_options options;
     for (const int slots : {1, 5}) {
         auto queue = makeQueue({0.2, 0.2}, slots);
-        const auto bound = static_cast<size_t>(slots) * static_cast<size_t>(options.queuePerSlot);
+        const auto bound =
+            static_cast<size_t>(slots) * static_cast<size_t>(options.maxWaitingPerSlot);
         for (int i = 0; i < 100; ++i) {
             submit(queue, 1);
         }
@@ -256,7 +257,7 @@
         const auto evicted = queue.poll(start);
         REQUIRE(evicted.size() == 2);
         for (const auto &decision : evicted) {
-            CHECK(decision.refusal.value().reason == "overload");
+            CHECK(decision.rejection.value().reason == "overload");
             CHECK(subsidiaryOf[decision.id] == "flooding");
         }
         CHECK(slot.next() != 0);
--- a/src/persimmonrail/admission/tests/rank_admission_test.cpp
+++ b/src/persimmonrail/admission/tests/rank_admission_test.cpp
@@ -91,8 +91,8 @@
     auto admission = std::make_unique<rank_admission>(admission_options(), [&] { return source; });
     const auto rejected =
         admission->admit({"haulbook", 0, "", currentTime() + longTimeLeft}, currentTime());
-    REQUIRE(std::holds_alternative<admission_refusal>(rejected));
-    CHECK(std::get<admission_refusal>(rejected).reason == "upstream-down");
+    REQUIRE(std::holds_alternative<admission_rejection>(rejected));
+    CHECK(std::get<admission_rejection>(rejected).reason == "upstream-down");
     source = {8, "first", makeDocument(3)};
     CHECK(admit(*admission, 2) != nullptr);
     CHECK(admission->limit() == 8);
--- a/src/persimmonrail/balance/coordinator.cpp
+++ b/src/persimmonrail/balance/coordinator.cpp
@@ -10,7 +10,7 @@
 // A confirmation that a member is unresponsive is valid for this time.
 constexpr std::chrono::seconds maxConfirmationAge{30};
 // Pings that are due within this time are sent immediately. Otherwise they would wait for the next
-// call of duePings().
+// call of takeDuePings().
 constexpr milliseconds maxPingAdvance{100};
 
 } // namespace
@@ -101,7 +101,7 @@
                       minMemberPingInterval, maxMemberPingInterval);
 }
 
-std::vector<member_record> coordinator::duePings(steady_time now)
+std::vector<member_record> coordinator::takeDuePings(steady_time now)
 {
     std::map<std::string_view, member_record> due;
     const auto addElection = [&](const rendezvous_election &election) {
@@ -164,8 +164,8 @@
     }
 }
 
-void coordinator::noteConfirmation(const instance_id &helper, const instance_id &suspect,
-                                   bool hasReplied, steady_time now)
+void coordinator::recordProbeResult(const instance_id &helper, const instance_id &suspect,
+                                    bool hasReplied, steady_time now)
 {
     const auto entry = m_memberStates.find(suspect);
     if (entry == m_memberStates.end() || helper == suspect || helper == m_self) {
@@ -266,10 +266,10 @@
 
 void coordinator::acceptDocuments(steady_time now)
 {
-    if (!m_hooks.newerDocuments) {
+    if (!m_hooks.unevaluatedDocuments) {
         return;
     }
-    for (const auto &config : m_hooks.newerDocuments()) {
+    for (const auto &config : m_hooks.unevaluatedDocuments()) {
         if (!config.key.starts_with(configPrefix)) {
             continue;
         }
@@ -314,7 +314,7 @@
     if (const auto *helper = chooseHelper(member, state.confirmationRequests)) {
         state.lastConfirmationRequestAt = now;
         ++state.confirmationRequests;
-        m_hooks.askConfirmation(*helper, member);
+        m_hooks.requestProbe(*helper, member);
     }
 }
 
--- a/src/persimmonrail/balance/coordinator.h
+++ b/src/persimmonrail/balance/coordinator.h
@@ -56,12 +56,11 @@
         // Starts the conditional write of a record. The result becomes visible in a later view.
         std::function<void(const record_change &change)> writeRecord;
         // Returns the "config/<service>" objects whose version has not been evaluated yet.
-        std::function<std::vector<stored_object>()> newerDocuments;
+        std::function<std::vector<stored_object>()> unevaluatedDocuments;
         // Evaluates the document and writes "accepted/<service>" and "status/<service>".
         std::function<void(const std::string &service, const stored_object &config)> acceptDocument;
-        // Asks `helper` to ping `suspect`. The result is passed to noteConfirmation().
-        std::function<void(const member_record &helper, const member_record &suspect)>
-            askConfirmation;
+        // Asks `helper` to ping `suspect`. The result is passed to recordProbeResult().
+        std::function<void(const member_record &helper, const member_record &suspect)> requestProbe;
         // Deletes the member's object if the object still names this incarnation.
         std::function<void(const member_record &member)> removeMember;
     };
@@ -76,13 +75,13 @@
 
     // Returns the members to be pinged now and records the pings as sent. To be called about every
     // 250 ms.
-    std::vector<member_record> duePings(steady_time now);
+    std::vector<member_record> takeDuePings(steady_time now);
     // Records that a member replied to a ping.
     void recordResponse(const instance_id &member, steady_time now);
     // Records whether `suspect` replied to a ping of `helper`. A result from the suspect or from
     // this daemon is ignored.
-    void noteConfirmation(const instance_id &helper, const instance_id &suspect, bool hasReplied,
-                          steady_time now);
+    void recordProbeResult(const instance_id &helper, const instance_id &suspect, bool hasReplied,
+                           steady_time now);
 
     // Performs the work that is due: placement, acceptance of documents and removal of failed
     // members. To be called about once a second.
--- a/src/persimmonrail/balance/tests/coordinator_test.cpp
+++ b/src/persimmonrail/balance/tests/coordinator_test.cpp
@@ -37,7 +37,7 @@
     {
         for (const auto end = m_now + duration; m_now < end; m_now += 250ms) {
             for (auto &[name, coordinator] : m_coordinators) {
-                for (const auto &target : coordinator.duePings(m_now)) {
+                for (const auto &target : coordinator.takeDuePings(m_now)) {
                     if (stoppedDaemons.count(target.id.name) + stoppedDaemons.count(name) == 0
                         && brokenLinks.count({name, target.id.name}) == 0) {
                         coordinator.recordResponse(target.id, m_now);
@@ -86,14 +86,14 @@
             ++recordWrites;
             m_pending.push_back(change);
         };
-        hooks.newerDocuments = [this] { return unevaluatedDocuments; };
+        hooks.unevaluatedDocuments = [this] { return unevaluatedDocuments; };
         hooks.acceptDocument = [this](const std::string &service, const stored_object &) {
             evaluatedServices.push_back(service);
         };
-        hooks.askConfirmation = [this, self](const member_record &helper,
-                                             const member_record &suspect) {
+        hooks.requestProbe = [this, self](const member_record &helper,
+                                          const member_record &suspect) {
             if (stoppedDaemons.count(helper.id.name) == 0) {
-                m_coordinators.at(self).noteConfirmation(
+                m_coordinators.at(self).recordProbeResult(
                     helper.id, suspect.id, stoppedDaemons.count(suspect.id.name) == 0, m_now);
             }
         };
--- a/src/persimmonrail/daemon/coordinator_driver.cpp
+++ b/src/persimmonrail/daemon/coordinator_driver.cpp
@@ -34,12 +34,12 @@
         return member.slots > 0 ? member_condition::Available : member_condition::Draining;
     };
     hooks.writeRecord = [this](const record_change &change) { writeRecord(change); };
-    hooks.newerDocuments = [this] { return newerDocuments(); };
+    hooks.unevaluatedDocuments = [this] { return unevaluatedDocuments(); };
     hooks.acceptDocument = [this](const std::string &service, const stored_object &config) {
         acceptDocument(service, config);
     };
-    hooks.askConfirmation = [this](const member_record &helper, const member_record &suspect) {
-        askConfirmation(helper, suspect);
+    hooks.requestProbe = [this](const member_record &helper, const member_record &suspect) {
+        requestProbe(helper, suspect);
     };
     hooks.removeMember = [this](const member_record &member) { removeMember(member); };
     return hooks;
@@ -52,7 +52,7 @@
 
 void coordinator_driver::pingMembers(steady_time now)
 {
-    for (const auto &member : m_coordinator.duePings(now)) {
+    for (const auto &member : m_coordinator.takeDuePings(now)) {
         wire::Request request;
         request.mutable_ping();
         m_messenger.send(member.controlAddress, std::move(request), pingTimeout,
@@ -91,7 +91,7 @@
 
 // The service's current verdict is the one in the store, so a document counts as new until its
 // verdict has come back through a pull or a watch.
-std::vector<stored_object> coordinator_driver::newerDocuments() const
+std::vector<stored_object> coordinator_driver::unevaluatedDocuments() const
 {
     std::vector<stored_object> newer;
     m_store.visitPrefix(configPrefix, [&](const stored_object &config) {
@@ -147,7 +147,7 @@
                    });
 }
 
-void coordinator_driver::askConfirmation(const member_record &helper, const member_record &suspect)
+void coordinator_driver::requestProbe(const member_record &helper, const member_record &suspect)
 {
     wire::Request request;
     *request.mutable_probe()->mutable_suspect() = toWire(suspect.id);
@@ -156,8 +156,8 @@
                      [this, helper = helper.id, suspect = suspect.id](
                          const absl::StatusOr<wire::Reply> &reply, steady_time now) {
                          if (reply.ok() && reply->has_probe()) {
-                             m_coordinator.noteConfirmation(helper, suspect,
-                                                            reply->probe().answered(), now);
+                             m_coordinator.recordProbeResult(helper, suspect,
+                                                             reply->probe().answered(), now);
                          }
                      });
 }
--- a/src/persimmonrail/daemon/coordinator_driver.h
+++ b/src/persimmonrail/daemon/coordinator_driver.h
@@ -37,10 +37,10 @@
 private:
     coordinator::hooks makeHooks();
     void writeRecord(const record_change &change);
-    std::vector<stored_object> newerDocuments() const;
+    std::vector<stored_object> unevaluatedDocuments() const;
     void acceptDocument(const std::string &service, const stored_object &config);
     void writeVerdict(const std::string &key, const std::string &value);
-    void askConfirmation(const member_record &helper, const member_record &suspect);
+    void requestProbe(const member_record &helper, const member_record &suspect);
     void removeMember(const member_record &member);
 
     control_messenger &m_messenger;
--- a/src/persimmonrail/daemon/daemon_state.cpp
+++ b/src/persimmonrail/daemon/daemon_state.cpp
@@ -51,12 +51,12 @@
     , m_upstreamClient({},
                        {[this](upstream_state state, const upstream_announcement &announcement) {
                             if (state == upstream_state::Down) {
-                                m_quarantine.noteCrash(std::chrono::steady_clock::now());
+                                m_quarantine.recordCrash(std::chrono::steady_clock::now());
                             }
                             onUpstreamState(state, announcement);
                         },
                         [this](const upstream_announcement &announcement) {
-                            m_quarantine.noteCrash(std::chrono::steady_clock::now());
+                            m_quarantine.recordCrash(std::chrono::steady_clock::now());
                             // The new run holds no grants and has forgotten its requests.
                             onUpstreamState(upstream_state::Down, announcement);
                             onUpstreamState(upstream_state::Up, announcement);
@@ -257,7 +257,7 @@
             m_announcer->setSlots(m_stopping ? 0 : announcement.slots);
             break;
         case upstream_state::Draining:
-            m_engine->drainAll(now);
+            m_engine->startShutdown(now);
             m_announcer->setSlots(0);
             break;
         case upstream_state::Down:
@@ -288,7 +288,7 @@
     m_noNewWorkAt = (begun + newWorkAfterStop).time_since_epoch().count();
     m_loop.post([this](steady_time now) {
         m_announcer->setSlots(0);
-        m_engine->drainAll(now);
+        m_engine->startShutdown(now);
     });
     bool complete = waitUntil(deadline, [this] { return m_engineDrained.load(); });
     waitUntil(std::min(deadline, begun + stopAnnouncementTime), [] { return false; });
@@ -308,13 +308,14 @@
     return complete;
 }
 
-bool daemon::state::refusesNewWork(steady_time now) const
+bool daemon::state::rejectsNewRequests(steady_time now) const
 {
     if (now.time_since_epoch().count() >= m_noNewWorkAt) {
         return true;
     }
     const auto upstream = m_upstreamClient.status(now);
-    return upstream.state == upstream_state::Draining && upstream.drainingFor >= newWorkAfterStop;
+    return upstream.state == upstream_state::Draining
+        && upstream.timeSinceDraining >= newWorkAfterStop;
 }
 
 std::string daemon::state::notReadyReason() const
--- a/src/persimmonrail/daemon/daemon_state.h
+++ b/src/persimmonrail/daemon/daemon_state.h
@@ -70,7 +70,7 @@
     void addGauges();
     std::string notReadyReason() const;
     std::string describeState();
-    bool refusesNewWork(steady_time now) const;
+    bool rejectsNewRequests(steady_time now) const;
     bool waitUntil(steady_time deadline, const std::function<bool()> &condition);
 
     const daemon_settings m_settings;
--- a/src/persimmonrail/daemon/daemon_traffic.cpp
+++ b/src/persimmonrail/daemon/daemon_traffic.cpp
@@ -77,12 +77,12 @@
     hooks.pickInstance = [this](const fleet_view &, std::string_view service,
                                 const std::vector<instance_id> &tried,
                                 steady_time now) { return m_instances.pick(service, tried, now); };
-    hooks.attemptEnded = [this](std::string_view service, const member_record &member,
+    hooks.onAttemptEnd = [this](std::string_view service, const member_record &member,
                                 request_outcome outcome, std::string_view reason,
                                 std::chrono::nanoseconds took, steady_time now) {
         m_instances.finish(service, member.id, outcome, reason, took, now);
     };
-    hooks.retryBudget = [this](bool isRetry, steady_time now) {
+    hooks.consumeRetryBudget = [this](bool isRetry, steady_time now) {
         if (isRetry) {
             return m_retries.tryRetry(now);
         }
@@ -92,17 +92,17 @@
     hooks.admit = [this](const admission_request &request, steady_time now) {
         return m_admission.admit(request, now);
     };
-    hooks.atMostOnceBegin = [this](std::string_view service, std::string_view idempotencyKey,
+    hooks.beginAtMostOnce = [this](std::string_view service, std::string_view idempotencyKey,
                                    const lease_ticket &ticket, steady_time now) {
         return beginAtMostOnce(service, idempotencyKey, ticket, now);
     };
-    hooks.atMostOnceEnd = [this](std::string_view service, std::string_view idempotencyKey,
+    hooks.endAtMostOnce = [this](std::string_view service, std::string_view idempotencyKey,
                                  request_outcome outcome,
                                  const std::shared_ptr<const stored_response> &response) {
         endAtMostOnce(service, idempotencyKey, outcome, response);
     };
     hooks.quarantine = &m_quarantine;
-    hooks.refusesNewWork = [this](steady_time now) { return refusesNewWork(now); };
+    hooks.rejectsNewRequests = [this](steady_time now) { return rejectsNewRequests(now); };
     return hooks;
 }
 
@@ -128,11 +128,11 @@
     const auto key = parseIdempotencyKey(idempotencyKey);
     const auto since = m_serving.servingSince(ticket.partition(), ticket.term());
     if (!key.ok() || !since) {
-        at_most_once_verdict refusal;
-        refusal.what = at_most_once_verdict::action::Refuse;
-        refusal.outcome = request_outcome::NotRun;
-        refusal.reason = key.ok() ? "not-owner" : "invalid-idempotency-key";
-        return refusal;
+        at_most_once_verdict rejection;
+        rejection.decision = at_most_once_verdict::action::Reject;
+        rejection.outcome = request_outcome::NotRun;
+        rejection.reason = key.ok() ? "not-owner" : "invalid-idempotency-key";
+        return rejection;
     }
     const wall_time wallNow = std::chrono::system_clock::now();
     const auto tenure = std::chrono::duration_cast<wall_time::duration>(now - *since);
@@ -158,7 +158,7 @@
         }
         return m_upstreamClient.announce(announcement, std::chrono::steady_clock::now());
     };
-    hooks.metricsText = [this] { return m_metrics.renderText(); };
+    hooks.renderMetrics = [this] { return m_metrics.renderText(); };
     hooks.notReadyReason = [this] { return notReadyReason(); };
     hooks.explain = [this](const std::string &service, const std::string &key) {
         return m_requestRouter->explain(service, key, std::chrono::steady_clock::now());
--- a/src/persimmonrail/daemon/sync_driver.cpp
+++ b/src/persimmonrail/daemon/sync_driver.cpp
@@ -53,14 +53,14 @@
     hooks.listed = [this](const object_list &list) {
         m_loop.post([this, list](steady_time now) {
             m_store.applyList(list, now);
-            m_readiness.notePlatformRead(list.revision);
+            m_readiness.recordPlatformRead(list.revision);
             publish(now);
         });
     };
     hooks.changed = [this](uint64_t since, const object_list &changes) {
         m_loop.post([this, since, changes](steady_time now) {
             m_store.applyWatch(since, changes, now);
-            m_readiness.notePlatformRead(changes.revision);
+            m_readiness.recordPlatformRead(changes.revision);
             publish(now);
         });
     };
@@ -93,7 +93,7 @@
 void sync_driver::pullFrom(const std::string &controlAddress)
 {
     wire::Request request;
-    *request.mutable_pull() = m_store.nextPull();
+    *request.mutable_pull() = m_store.nextPullRequest();
     const uint64_t after = request.pull().after_revision();
     m_messenger.send(
         controlAddress, std::move(request), pullTimeout,
@@ -110,7 +110,7 @@
     if (m_takePullReply) {
         m_takePullReply(reply.pull(), now);
     }
-    m_readiness.notePull(fromWire(reply.sender()), reply.pull());
+    m_readiness.recordPullReply(fromWire(reply.sender()), reply.pull());
     const bool applied = m_store.applyPull(afterRevision, reply.pull(), now);
     publish(now);
     // The rest of an answer that was cut follows at once, so that a daemon far behind catches up in
--- a/src/persimmonrail/daemon/sync_driver.h
+++ b/src/persimmonrail/daemon/sync_driver.h
@@ -3,7 +3,7 @@
 #include "persimmonrail/daemon/control_messenger.h"
 #include "persimmonrail/objects/object_api.h"
 #include "persimmonrail/sync/object_replica.h"
-#include "persimmonrail/sync/pull_schedule.h"
+#include "persimmonrail/sync/pull_peer_selector.h"
 #include "persimmonrail/sync/readiness.h"
 #include "persimmonrail/sync/relay_election.h"
 #include "persimmonrail/sync/relay_watch.h"
@@ -27,7 +27,7 @@
 public:
     struct options
     {
-        pull_schedule::location self;
+        pull_peer_selector::location self;
         std::vector<std::string> seeds;
         object_api platform;
         random_source random;
@@ -71,7 +71,7 @@
     view_listener m_onView;
     std::function<void(const wire::PullReply &reply, steady_time now)> m_takePullReply;
     object_replica m_store;
-    pull_schedule m_schedule;
+    pull_peer_selector m_schedule;
     readiness m_readiness;
     relay_election m_election;
     std::atomic<bool> m_ready{false};
--- a/src/persimmonrail/daemon/tests/crash_quarantine_test.cpp
+++ b/src/persimmonrail/daemon/tests/crash_quarantine_test.cpp
@@ -40,7 +40,8 @@
     target.merge(quarantineFromWire(reply), now);
     CHECK(target.size() == maxGossipedEntries);
     CHECK(target.entries(100, now) == source.entries(maxGossipedEntries, now));
-    CHECK(target.refusedFor(reply.quarantine(0).fingerprint(), now) == milliseconds(599'000));
+    CHECK(target.remainingRejectionTime(reply.quarantine(0).fingerprint(), now)
+          == milliseconds(599'000));
 
     wire::PullReply hostile;
     hostile.add_quarantine()->set_age_ms(UINT64_MAX);
--- a/src/persimmonrail/feed/change_feed.cpp
+++ b/src/persimmonrail/feed/change_feed.cpp
@@ -69,7 +69,7 @@
     m_changed.notify_all();
 }
 
-void change_feed::applyOne(const stored_object &object)
+void change_feed::applyObject(const stored_object &object)
 {
     const std::lock_guard lock(m_mutex);
     put(object);
--- a/src/persimmonrail/feed/change_feed.h
+++ b/src/persimmonrail/feed/change_feed.h
@@ -53,7 +53,7 @@
     void apply(const object_list &changes);
     // Applies a single object that was written or read outside the watch. The revision of the feed
     // stays the same, because earlier changes may still be missing.
-    void applyOne(const stored_object &object);
+    void applyObject(const stored_object &object);
     // Records that the store responded to this daemon at `now`, so that the feed was up to date at
     // that time.
     void confirm(steady_time now);
--- a/src/persimmonrail/feed/relayed_watch.cpp
+++ b/src/persimmonrail/feed/relayed_watch.cpp
@@ -136,7 +136,7 @@
         m_cursor = cursor;
         if (source != m_source) {
             m_source = source;
-            m_hooks.onSource(source, reason);
+            m_hooks.onSourceChanged(source, reason);
         }
     }
 
@@ -151,7 +151,7 @@
         auto changes = m_store.watch(prefix, revision, std::min(wait, m_options.storeWaitTimeout));
         const steady_time now = m_hooks.now();
         if (changes.ok()) {
-            m_hooks.onDirectResponse(now);
+            m_hooks.onStoreResponse(now);
             if (!changes->objects.empty()) {
                 m_lastChangeAt = now;
             }
@@ -174,8 +174,9 @@
 
 } // namespace
 
-std::vector<std::string> relaysFor(const fleet_directory &directory,
-                                   std::string_view availabilityZone, const std::string &ownAddress)
+std::vector<std::string> selectRelayAddresses(const fleet_directory &directory,
+                                              std::string_view availabilityZone,
+                                              const std::string &ownAddress)
 {
     std::vector<const upstream_member *> candidates;
     for (const auto &[name, entry] : directory.members()) {
--- a/src/persimmonrail/feed/relayed_watch.h
+++ b/src/persimmonrail/feed/relayed_watch.h
@@ -39,10 +39,10 @@
     // empty if this daemon watches the store itself.
     std::function<std::vector<std::string>()> relays;
     // Called after the store itself has responded to a watch without an error.
-    std::function<void(steady_time now)> onDirectResponse;
+    std::function<void(steady_time now)> onStoreResponse;
     // Called when the source of changes differs from the previous one. `source` is the address of a
     // relay's peer port, or "store". `reason` is the error of the last relay that failed, or OK.
-    std::function<void(std::string_view source, const absl::Status &reason)> onSource;
+    std::function<void(std::string_view source, const absl::Status &reason)> onSourceChanged;
     std::function<steady_time()> now;
     // Blocks for `time`.
     std::function<void(milliseconds time)> pause;
@@ -53,9 +53,9 @@
 // the other daemons in its zone. There is one relay for every 64 members or part thereof; the
 // members that come first in the order of hasMoreCapacity() are chosen. The list starts at a relay
 // that depends on `ownAddress`, so that daemons spread over the relays.
-std::vector<std::string> relaysFor(const fleet_directory &directory,
-                                   std::string_view availabilityZone,
-                                   const std::string &ownAddress);
+std::vector<std::string> selectRelayAddresses(const fleet_directory &directory,
+                                              std::string_view availabilityZone,
+                                              const std::string &ownAddress);
 
 // Returns a copy of `store` in which `watch` reads changes from a relay, or from `store` itself if
 // no relay responds. The returned `watch` must be called by one thread at a time.
--- a/src/persimmonrail/feed/tests/change_feed_test.cpp
+++ b/src/persimmonrail/feed/tests/change_feed_test.cpp
@@ -55,7 +55,7 @@
     CHECK(unchanged->changes.objects.empty());
     fixture.feed.apply({12, {object("a", 11)}});
     // The feed ignores a version that is older than its own version of the object.
-    fixture.feed.applyOne(object("b", 8));
+    fixture.feed.applyObject(object("b", 8));
     const auto second = fixture.read(unchanged->cursor);
     REQUIRE(second.ok());
     CHECK(changedKeys(*second) == std::vector<std::string>{"fleet/a"});
@@ -68,7 +68,7 @@
 {
     feed_fixture fixture;
     const auto cursor = fixture.read({}, 10)->cursor;
-    fixture.feed.applyOne(object("a", 15));
+    fixture.feed.applyObject(object("a", 15));
     const auto own = fixture.read(cursor);
     REQUIRE(own.ok());
     CHECK(changedKeys(*own) == std::vector<std::string>{"fleet/a"});
@@ -129,7 +129,7 @@
     // An object that was written after the list was read has not been removed.
     SECTION("an object is newer than the list")
     {
-        fixture.feed.applyOne(object("c", 20));
+        fixture.feed.applyObject(object("c", 20));
         fixture.feed.reset({11, {object("a", 3), object("b", 9)}});
         CHECK(fixture.read(cursor).ok());
     }
--- a/src/persimmonrail/feed/tests/relayed_watch_test.cpp
+++ b/src/persimmonrail/feed/tests/relayed_watch_test.cpp
@@ -48,8 +48,8 @@
         };
         relayed_watch_hooks hooks;
         hooks.relays = [this] { return relays; };
-        hooks.onDirectResponse = [this](steady_time) { ++confirmations; };
-        hooks.onSource = [this](std::string_view source, const absl::Status &) {
+        hooks.onStoreResponse = [this](steady_time) { ++confirmations; };
+        hooks.onSourceChanged = [this](std::string_view source, const absl::Status &) {
             sources.emplace_back(source);
         };
         hooks.now = [this] { return std::chrono::steady_clock::now() + clockOffset; };
@@ -73,7 +73,7 @@
     fleet_directory_builder builder([](const std::string &, std::string_view) {});
     uint64_t version = 0;
     for (const upstream_member &member : members) {
-        builder.applyOne({memberKey(member.id.name), ++version, false, encodeMember(member)});
+        builder.applyObject({memberKey(member.id.name), ++version, false, encodeMember(member)});
     }
     return builder.build();
 }
@@ -168,11 +168,12 @@
     slowLink.host = {0.5, 15};
     const upstream_member unknown = makeMember("d", "nord", 4);
     const auto directory = makeDirectory({weak, strong, slowLink, unknown});
-    CHECK(relaysFor(*directory, "nord", "127.0.0.1:1") == std::vector<std::string>{"127.0.0.1:2"});
-    CHECK(relaysFor(*directory, "nord", "127.0.0.1:2").empty());
+    CHECK(selectRelayAddresses(*directory, "nord", "127.0.0.1:1")
+          == std::vector<std::string>{"127.0.0.1:2"});
+    CHECK(selectRelayAddresses(*directory, "nord", "127.0.0.1:2").empty());
     strong.isDraining = true;
     const auto updatedDirectory = makeDirectory({weak, strong, slowLink, unknown});
-    CHECK(relaysFor(*updatedDirectory, "nord", "127.0.0.1:1")
+    CHECK(selectRelayAddresses(*updatedDirectory, "nord", "127.0.0.1:1")
           == std::vector<std::string>{"127.0.0.1:3"});
 }
 
@@ -181,10 +182,11 @@
     const auto directory =
         makeDirectory({makeMember("a", "nord", 1, true), makeMember("b", "nord", 2),
                        makeMember("c", "nord", 3), makeMember("d", "sued", 4)});
-    CHECK(relaysFor(*directory, "nord", "127.0.0.1:3") == std::vector<std::string>{"127.0.0.1:2"});
-    CHECK(relaysFor(*directory, "nord", "127.0.0.1:2").empty());
-    CHECK(relaysFor(*directory, "sued", "127.0.0.1:4").empty());
-    CHECK(relaysFor(*directory, "mitte", "127.0.0.1:9").empty());
+    CHECK(selectRelayAddresses(*directory, "nord", "127.0.0.1:3")
+          == std::vector<std::string>{"127.0.0.1:2"});
+    CHECK(selectRelayAddresses(*directory, "nord", "127.0.0.1:2").empty());
+    CHECK(selectRelayAddresses(*directory, "sued", "127.0.0.1:4").empty());
+    CHECK(selectRelayAddresses(*directory, "mitte", "127.0.0.1:9").empty());
     std::vector<upstream_member> members;
     members.reserve(130);
     for (int i = 0; i < 130; ++i) {
@@ -193,7 +195,8 @@
     const auto large = makeDirectory(members);
     std::set<std::string> firstRelays;
     for (int i = 3; i < 130; ++i) {
-        const auto relays = relaysFor(*large, "nord", "127.0.0.1:" + std::to_string(1000 + i));
+        const auto relays =
+            selectRelayAddresses(*large, "nord", "127.0.0.1:" + std::to_string(1000 + i));
         REQUIRE(relays.size() == 3);
         firstRelays.insert(relays[0]);
     }
--- a/src/persimmonrail/fleet/fleet_directory.cpp
+++ b/src/persimmonrail/fleet/fleet_directory.cpp
@@ -45,9 +45,9 @@
     return entry == m_placements.end() ? nullptr : &entry->second;
 }
 
-std::vector<upstream_member> earlierIncarnations(const fleet_directory &directory,
-                                                 std::string_view peerAddress,
-                                                 const upstream_id &present)
+std::vector<upstream_member> endedMembersAt(const fleet_directory &directory,
+                                            std::string_view peerAddress,
+                                            const upstream_id &present)
 {
     std::vector<upstream_member> earlier;
     for (const auto &[name, entry] : directory.members()) {
@@ -80,12 +80,12 @@
 void fleet_directory_builder::apply(const object_list &changes)
 {
     for (const stored_object &object : changes.objects) {
-        applyOne(object);
+        applyObject(object);
     }
     m_directory.m_revision = std::max(m_directory.m_revision, changes.revision);
 }
 
-void fleet_directory_builder::applyOne(const stored_object &object)
+void fleet_directory_builder::applyObject(const stored_object &object)
 {
     if (object.deleted) {
         erase(object.key, object.version);
--- a/src/persimmonrail/fleet/fleet_directory.h
+++ b/src/persimmonrail/fleet/fleet_directory.h
@@ -64,9 +64,9 @@
 // does not show as terminated. The returned entries are marked as draining and terminated: a host
 // runs only one upstream at a time, so the upstreams that ran beside the same daemon before
 // `present` have ended.
-std::vector<upstream_member> earlierIncarnations(const fleet_directory &directory,
-                                                 std::string_view peerAddress,
-                                                 const upstream_id &present);
+std::vector<upstream_member> endedMembersAt(const fleet_directory &directory,
+                                            std::string_view peerAddress,
+                                            const upstream_id &present);
 
 // Builds directories from objects of the store. An object that cannot be parsed is reported to the
 // error hook and otherwise ignored. Not thread safe.
@@ -84,7 +84,7 @@
     // Applies changes in order and advances the revision.
     void apply(const object_list &changes);
     // Applies one object if it is newer than the known entry. The revision stays the same.
-    void applyOne(const stored_object &object);
+    void applyObject(const stored_object &object);
     // Returns a copy of the present content.
     std::shared_ptr<const fleet_directory> build() const;
 
--- a/src/persimmonrail/fleet/local_upstream.cpp
+++ b/src/persimmonrail/fleet/local_upstream.cpp
@@ -51,7 +51,7 @@
     return hasSameValues && m_phase == previousPhase ? verdict::Unchanged : verdict::Changed;
 }
 
-local_upstream::verdict local_upstream::onDeparture(const upstream_id &id, steady_time now)
+local_upstream::verdict local_upstream::onShutdownAnnounced(const upstream_id &id, steady_time now)
 {
     if (!m_report || id.name != m_report->id.name
         || (id.startedAt != 0 && id.startedAt != m_report->id.startedAt)) {
@@ -65,7 +65,7 @@
     return verdict::Changed;
 }
 
-local_upstream::verdict local_upstream::onRefusedConnection(steady_time)
+local_upstream::verdict local_upstream::onConnectionRefused(steady_time)
 {
     if (m_phase == upstream_phase::Absent) {
         return verdict::Unchanged;
--- a/src/persimmonrail/fleet/local_upstream.h
+++ b/src/persimmonrail/fleet/local_upstream.h
@@ -50,10 +50,10 @@
     verdict onReport(const upstream_report &report, steady_time now);
     // Handles the announcement that the upstream shuts down and sends no further reports. An `id`
     // without a start time stands for the present incarnation of that name.
-    verdict onDeparture(const upstream_id &id, steady_time now);
+    verdict onShutdownAnnounced(const upstream_id &id, steady_time now);
     // Handles a refused connection to the upstream's address, which shows that its process has
     // ended.
-    verdict onRefusedConnection(steady_time now);
+    verdict onConnectionRefused(steady_time now);
     // Handles a response to a request. An unresponsive upstream becomes ready again, since only its
     // reports are delayed.
     void onResponse(steady_time now);
--- a/src/persimmonrail/fleet/tests/fleet_test.cpp
+++ b/src/persimmonrail/fleet/tests/fleet_test.cpp
@@ -54,14 +54,14 @@
     }
     SECTION("a departure applies to its own incarnation only")
     {
-        CHECK(upstream.onDeparture({"b", 0}, start) == verdict::Stale);
-        CHECK(upstream.onDeparture({"a", 9}, start) == verdict::Stale);
-        CHECK(upstream.onDeparture({"a", 0}, start) == verdict::Changed);
+        CHECK(upstream.onShutdownAnnounced({"b", 0}, start) == verdict::Stale);
+        CHECK(upstream.onShutdownAnnounced({"a", 9}, start) == verdict::Stale);
+        CHECK(upstream.onShutdownAnnounced({"a", 0}, start) == verdict::Changed);
         CHECK_FALSE(upstream.acceptsRequests());
     }
     SECTION("a refused connection ends the incarnation")
     {
-        CHECK(upstream.onRefusedConnection(start) == verdict::Changed);
+        CHECK(upstream.onConnectionRefused(start) == verdict::Changed);
         CHECK(upstream.onReport(report("a", 10, 3), start) == verdict::Unchanged);
         CHECK(upstream.phase() == upstream_phase::Absent);
         CHECK(upstream.onReport(report("b", 11, 1), start) == verdict::Changed);
@@ -121,12 +121,12 @@
     fleet_directory_builder builder([](const std::string &, std::string_view) {});
     upstream_member newer = member("i-1");
     newer.isDraining = true;
-    builder.applyOne({memberKey("i-1"), 9, false, encodeMember(newer)});
-    builder.applyOne({memberKey("i-1"), 8, false, encodeMember(member("i-1"))});
+    builder.applyObject({memberKey("i-1"), 9, false, encodeMember(newer)});
+    builder.applyObject({memberKey("i-1"), 8, false, encodeMember(member("i-1"))});
     CHECK(builder.build()->findMember("i-1")->member.isDraining);
-    builder.applyOne({memberKey("i-1"), 7, true, ""});
+    builder.applyObject({memberKey("i-1"), 7, true, ""});
     CHECK(builder.build()->findMember("i-1") != nullptr);
-    builder.applyOne({memberKey("i-1"), 10, true, ""});
+    builder.applyObject({memberKey("i-1"), 10, true, ""});
     CHECK(builder.build()->findMember("i-1") == nullptr);
 }
 
@@ -137,9 +137,9 @@
     fleet_directory_builder builder([](const std::string &, std::string_view) {});
     upstream_member draining = member("a");
     draining.isDraining = true;
-    builder.applyOne({memberKey("a"), 12, false, encodeMember(draining)});
-    builder.applyOne({memberKey("b"), 13, false, encodeMember(member("b"))});
-    builder.applyOne({memberKey("c"), 3, false, encodeMember(member("c"))});
+    builder.applyObject({memberKey("a"), 12, false, encodeMember(draining)});
+    builder.applyObject({memberKey("b"), 13, false, encodeMember(member("b"))});
+    builder.applyObject({memberKey("c"), 3, false, encodeMember(member("c"))});
     builder.reset({10, {{memberKey("a"), 8, false, encodeMember(member("a"))}}});
     const auto directory = builder.build();
     REQUIRE(directory->findMember("a") != nullptr);
@@ -159,9 +159,9 @@
     upstream_member terminated = member("i-4");
     terminated.isTerminated = true;
     for (const upstream_member &entry : {member("i-1"), member("i-2"), onOtherHost, terminated}) {
-        builder.applyOne({memberKey(entry.id.name), 1, false, encodeMember(entry)});
+        builder.applyObject({memberKey(entry.id.name), 1, false, encodeMember(entry)});
     }
-    const auto earlier = earlierIncarnations(*builder.build(), "127.0.0.1:9000", {"i-2", 9});
+    const auto earlier = endedMembersAt(*builder.build(), "127.0.0.1:9000", {"i-2", 9});
     REQUIRE(earlier.size() == 1);
     CHECK(earlier[0].id.name == "i-1");
     CHECK(earlier[0].isTerminated);
--- a/src/persimmonrail/gateway/caller_sink.cpp
+++ b/src/persimmonrail/gateway/caller_sink.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void removeOwnFields(Poco::Net::HTTPMessage &message)
+void removePersimmonrailFields(Poco::Net::HTTPMessage &message)
 {
     std::vector<std::string> names;
     for (const auto &[name, value] : message) {
@@ -47,9 +47,9 @@
                         std::string_view first, bool isComplete)
 {
     Poco::Net::HTTPResponse response(head);
-    removeOwnFields(response);
+    removePersimmonrailFields(response);
     removeConnectionFields(response);
-    if (isComplete && m_storeResponse && first.size() <= bodyPieceBytes) {
+    if (isComplete && m_storeResponse && first.size() <= maxBodyPieceBytes) {
         auto stored = std::make_shared<stored_response>();
         stored->status = response.getStatus();
         stored->body = first;
--- a/src/persimmonrail/gateway/caller_sink.h
+++ b/src/persimmonrail/gateway/caller_sink.h
@@ -10,7 +10,7 @@
 namespace persimmonrail {
 
 // Removes all fields whose names begin with "Persimmonrail-" (in any case) from a message.
-void removeOwnFields(Poco::Net::HTTPMessage &message);
+void removePersimmonrailFields(Poco::Net::HTTPMessage &message);
 
 // Passes a response on to the requester, which is a caller or another daemon. Sets the outcome
 // "run" and the request id. Not thread safe.
@@ -21,8 +21,8 @@
     // resent immediately finds the stored response.
     using store_hook = std::function<void(std::shared_ptr<const stored_response> response)>;
 
-    // `storeResponse` is called for each complete response with a body of at most bodyPieceBytes.
-    // If it is empty, no response is stored. `exchange` must outlive the sink.
+    // `storeResponse` is called for each complete response with a body of at most
+    // maxBodyPieceBytes. If it is empty, no response is stored. `exchange` must outlive the sink.
     caller_sink(server_exchange &exchange, std::string requestId, store_hook storeResponse = {});
 
     bool begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
--- a/src/persimmonrail/gateway/fingerprinted_body.cpp
+++ b/src/persimmonrail/gateway/fingerprinted_body.cpp
@@ -24,10 +24,10 @@
     return {m_service, request.getMethod(), request.getURI(), m_keyHash};
 }
 
-std::optional<admission_refusal> fingerprinted_body::checkQuarantine(steady_time deadline,
-                                                                     steady_time now)
+std::optional<admission_rejection> fingerprinted_body::checkQuarantine(steady_time deadline,
+                                                                       steady_time now)
 {
-    if (m_quarantine == nullptr || !m_quarantine->refusesAny(now)) {
+    if (m_quarantine == nullptr || !m_quarantine->rejectsAny(now)) {
         return std::nullopt;
     }
     fingerprint_builder builder = startFingerprint();
@@ -35,14 +35,15 @@
         std::string_view firstBytes;
         const io_status status = m_exchange.peek(fingerprintBodyBytes, firstBytes, deadline);
         if (status != io_status::Ok) {
-            return admission_refusal{status == io_status::Malformed ? "malformed-request-body"
-                                                                    : "incomplete-request-body"};
+            return admission_rejection{status == io_status::Malformed ? "malformed-request-body"
+                                                                      : "incomplete-request-body"};
         }
         builder.addBody(firstBytes);
     }
-    const auto remaining = m_quarantine->refusedFor(builder.value(), now);
-    return remaining ? std::optional(admission_refusal{std::string(quarantinedReason), *remaining})
-                     : std::nullopt;
+    const auto remaining = m_quarantine->remainingRejectionTime(builder.value(), now);
+    return remaining
+        ? std::optional(admission_rejection{std::string(quarantinedReason), *remaining})
+        : std::nullopt;
 }
 
 void fingerprinted_body::recordDispatch()
--- a/src/persimmonrail/gateway/fingerprinted_body.h
+++ b/src/persimmonrail/gateway/fingerprinted_body.h
@@ -28,7 +28,7 @@
     // Returns a rejection if the request must not be dispatched, nullopt otherwise. If any
     // fingerprint is quarantined, reads ahead in the body until `deadline` at most; a malformed or
     // incomplete body is rejected too.
-    std::optional<admission_refusal> checkQuarantine(steady_time deadline, steady_time now);
+    std::optional<admission_rejection> checkQuarantine(steady_time deadline, steady_time now);
     // Reports the start of the dispatch to the quarantine.
     void recordDispatch();
     // Reports the end of the dispatch. If this function is not called, the destructor reports a
--- a/src/persimmonrail/gateway/forwarder.cpp
+++ b/src/persimmonrail/gateway/forwarder.cpp
@@ -101,7 +101,7 @@
     if (request.body != nullptr) {
         const body_framing framing = request.body->framing();
         request.expectContinue =
-            framing.type == body_framing::kind::Chunked || framing.length > bodyPieceBytes;
+            framing.type == body_framing::kind::Chunked || framing.length > maxBodyPieceBytes;
     }
     request.progressTimeout = progressTimeout;
     request.probe = [this, address = request.address, repeatable = request.repeatable,
@@ -118,9 +118,9 @@
     const exchange_result exchange = m_client.exchange(request, sink);
     forward_result result;
     result.responseStarted = exchange.responseStarted;
-    result.callerDisconnected = exchange.sinkGone;
+    result.callerDisconnected = exchange.receiverDisconnected;
     result.reason = toString(exchange.state);
-    result.outcome = exchange.anySent ? request_outcome::Unknown : request_outcome::NotRun;
+    result.outcome = exchange.hasSentBytes ? request_outcome::Unknown : request_outcome::NotRun;
     switch (exchange.state) {
     case exchange_state::Complete:
         result.outcome = request_outcome::Run;
--- a/src/persimmonrail/gateway/forwarder.h
+++ b/src/persimmonrail/gateway/forwarder.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "persimmonrail/base/request_outcome.h"
-#include "persimmonrail/gateway/silent_peers.h"
+#include "persimmonrail/gateway/unresponsive_peers.h"
 #include "persimmonrail/http/http_client.h"
 
 #include <string>
@@ -57,7 +57,7 @@
 private:
     std::shared_ptr<connection_pool> m_pool;
     http_client m_client;
-    silent_peers m_unresponsivePeers;
+    unresponsive_peers m_unresponsivePeers;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/gateway/gateway_hooks.cpp
+++ b/src/persimmonrail/gateway/gateway_hooks.cpp
@@ -69,7 +69,7 @@
     std::unique_lock lock(m_state->mutex);
     if (m_state->usedSlots >= slots) {
         if (m_state->waitingRequests >= m_state->maxQueueLength) {
-            return admission_refusal{"overload", overloadRetryAfter};
+            return admission_rejection{"overload", overloadRetryAfter};
         }
         ++m_state->waitingRequests;
         const bool isFree =
@@ -77,7 +77,7 @@
                                           [&] { return m_state->usedSlots < slots; });
         --m_state->waitingRequests;
         if (!isFree) {
-            return admission_refusal{"overload", overloadRetryAfter};
+            return admission_rejection{"overload", overloadRetryAfter};
         }
     }
     ++m_state->usedSlots;
--- a/src/persimmonrail/gateway/gateway_hooks.h
+++ b/src/persimmonrail/gateway/gateway_hooks.h
@@ -55,7 +55,7 @@
 };
 
 // Rejection of a request before its dispatch.
-struct admission_refusal
+struct admission_rejection
 {
     // Fixed word for the header Persimmonrail-Reason.
     std::string reason;
@@ -63,7 +63,7 @@
     milliseconds retryAfter{0};
 };
 
-using admission_result = std::variant<std::unique_ptr<admission_ticket>, admission_refusal>;
+using admission_result = std::variant<std::unique_ptr<admission_ticket>, admission_rejection>;
 
 // Functions through which the gateway uses other modules of the daemon. All hooks are called by the
 // threads that serve requests and must be thread safe; only `admit` may block.
@@ -97,15 +97,15 @@
     std::function<void(std::string_view service, const member_record &member,
                        request_outcome outcome, std::string_view reason,
                        std::chrono::nanoseconds took, steady_time now)>
-        attemptEnded;
+        onAttemptEnd;
     // Returns whether a repeatable request whose outcome is unknown may be retried, and counts the
     // retry. Also called with `isRetry` false for each first attempt, which is only counted.
     // Default: no retries.
-    std::function<bool(bool isRetry, steady_time now)> retryBudget;
+    std::function<bool(bool isRetry, steady_time now)> consumeRetryBudget;
 
     // Returns whether new requests for the local upstream are rejected because the upstream or the
     // daemon is stopping. Default: false.
-    std::function<bool(steady_time now)> refusesNewWork;
+    std::function<bool(steady_time now)> rejectsNewRequests;
 
     // Waits for a slot of the local upstream. Returns a rejection if no slot is available. Default:
     // slot_admission.
@@ -115,12 +115,12 @@
     // the request would run. Default: always Proceed.
     std::function<at_most_once_verdict(std::string_view service, std::string_view idempotencyKey,
                                        const lease_ticket &ticket, steady_time now)>
-        atMostOnceBegin;
-    // Called at the end of each request that atMostOnceBegin let proceed. `response` is null if the
+        beginAtMostOnce;
+    // Called at the end of each request that beginAtMostOnce let proceed. `response` is null if the
     // response was incomplete or too large to be stored. Default: does nothing.
     std::function<void(std::string_view service, std::string_view idempotencyKey,
                        request_outcome outcome, std::shared_ptr<const stored_response> response)>
-        atMostOnceEnd;
+        endAtMostOnce;
 
     // Consulted before each dispatch to the local upstream. Must outlive the request router.
     // Optional.
--- a/src/persimmonrail/gateway/request_router.cpp
+++ b/src/persimmonrail/gateway/request_router.cpp
@@ -69,23 +69,23 @@
     if (!m_hooks.pickInstance) {
         m_hooks.pickInstance = firstUntriedMember;
     }
-    if (!m_hooks.retryBudget) {
-        m_hooks.retryBudget = [](bool isRetry, steady_time) { return !isRetry; };
+    if (!m_hooks.consumeRetryBudget) {
+        m_hooks.consumeRetryBudget = [](bool isRetry, steady_time) { return !isRetry; };
     }
-    if (!m_hooks.refusesNewWork) {
-        m_hooks.refusesNewWork = [](steady_time) { return false; };
+    if (!m_hooks.rejectsNewRequests) {
+        m_hooks.rejectsNewRequests = [](steady_time) { return false; };
     }
     if (!m_hooks.admit) {
         m_hooks.admit = [this](const admission_request &request, steady_time now) {
             return m_defaultAdmission->admit(request.deadline, now);
         };
     }
-    if (!m_hooks.atMostOnceBegin) {
-        m_hooks.atMostOnceBegin = [](std::string_view, std::string_view, const lease_ticket &,
+    if (!m_hooks.beginAtMostOnce) {
+        m_hooks.beginAtMostOnce = [](std::string_view, std::string_view, const lease_ticket &,
                                      steady_time) { return at_most_once_verdict(); };
     }
-    if (!m_hooks.atMostOnceEnd) {
-        m_hooks.atMostOnceEnd = [](std::string_view, std::string_view, request_outcome,
+    if (!m_hooks.endAtMostOnce) {
+        m_hooks.endAtMostOnce = [](std::string_view, std::string_view, request_outcome,
                                    const std::shared_ptr<const stored_response> &) {};
     }
 }
--- a/src/persimmonrail/gateway/routed_request.cpp
+++ b/src/persimmonrail/gateway/routed_request.cpp
@@ -68,7 +68,7 @@
         result = resolveKey();
     }
     if (!result) {
-        m_router.m_hooks.retryBudget(false, m_startedAt);
+        m_router.m_hooks.consumeRetryBudget(false, m_startedAt);
         m_message.set(requestIdHeader, m_requestId);
         m_message.set(rankHeader, m_rank);
         if (!m_subsidiary.empty()) {
@@ -88,7 +88,7 @@
 {
     const std::string deadlineField = m_message.get(deadlineHeader, "");
     readSubsidiary();
-    removeOwnFields(m_message);
+    removePersimmonrailFields(m_message);
     auto target = parseTarget(m_message.getURI());
     if (!target.ok()) {
         return notRunResult("invalid-path", 400);
@@ -176,7 +176,7 @@
     }
     return result.outcome == request_outcome::Unknown && m_repeatable
         && result.reason != "deadline-exceeded" && result.reason != "malformed-request-body"
-        && m_router.m_hooks.retryBudget(true, now);
+        && m_router.m_hooks.consumeRetryBudget(true, now);
 }
 
 attempt_result routed_request::routeByHash()
@@ -197,7 +197,7 @@
         if (next >= m_deadline) {
             return result;
         }
-        if (m_exchange.connection().waitClosed(next)) {
+        if (m_exchange.connection().waitUntilClosed(next)) {
             result.callerDisconnected = true;
             return result;
         }
@@ -253,8 +253,8 @@
         result = member->id.name == m_router.m_options.instance ? runLocally(nullptr)
                                                                 : forwardTo(*member);
         const steady_time endedAt = currentTime();
-        if (m_router.m_hooks.attemptEnded) {
-            m_router.m_hooks.attemptEnded(m_target.service, *member, result.outcome, result.reason,
+        if (m_router.m_hooks.onAttemptEnd) {
+            m_router.m_hooks.onAttemptEnd(m_target.service, *member, result.outcome, result.reason,
                                           endedAt - startedAt, endedAt);
         }
         // Any instance may run the request, so another one may have a free slot. A quarantined
@@ -323,14 +323,14 @@
 {
     const auto &hooks = m_router.m_hooks;
     const at_most_once_verdict verdict =
-        hooks.atMostOnceBegin(m_target.service, m_idempotencyKey, ticket, now);
+        hooks.beginAtMostOnce(m_target.service, m_idempotencyKey, ticket, now);
     attempt_result result;
-    if (verdict.what == at_most_once_verdict::action::Refuse) {
+    if (verdict.decision == at_most_once_verdict::action::Reject) {
         result.outcome = verdict.outcome;
         result.reason = verdict.reason;
         return result;
     }
-    if (verdict.what == at_most_once_verdict::action::Replay) {
+    if (verdict.decision == at_most_once_verdict::action::Replay) {
         result.outcome = request_outcome::Run;
         result.reason = "answered-from-record";
         result.responseStarted = true;
@@ -340,11 +340,11 @@
     bool endReported = false;
     result = admitAndDispatch(&ticket, [&](std::shared_ptr<const stored_response> response) {
         endReported = true;
-        hooks.atMostOnceEnd(m_target.service, m_idempotencyKey, request_outcome::Run,
+        hooks.endAtMostOnce(m_target.service, m_idempotencyKey, request_outcome::Run,
                             std::move(response));
     });
     if (!endReported) {
-        hooks.atMostOnceEnd(m_target.service, m_idempotencyKey, result.outcome, nullptr);
+        hooks.endAtMostOnce(m_target.service, m_idempotencyKey, result.outcome, nullptr);
     }
     return result;
 }
@@ -352,7 +352,7 @@
 attempt_result routed_request::admitAndDispatch(const lease_ticket *ticket,
                                                 const caller_sink::store_hook &storeResponse)
 {
-    if (m_router.m_hooks.refusesNewWork(currentTime())) {
+    if (m_router.m_hooks.rejectsNewRequests(currentTime())) {
         return notRunResult("draining");
     }
     fingerprinted_body body(m_router.m_hooks.quarantine, m_exchange, m_target.service,
@@ -364,13 +364,13 @@
     }
     const admission_result admitted = m_router.m_hooks.admit(
         {m_target.service, m_rankIndex, m_subsidiary, m_deadline}, currentTime());
-    if (const auto *const rejection = std::get_if<admission_refusal>(&admitted)) {
+    if (const auto *const rejection = std::get_if<admission_rejection>(&admitted)) {
         attempt_result result = notRunResult(rejection->reason, 429);
         result.retryAfter = rejection->retryAfter;
         return result;
     }
     // The upstream or the daemon may have begun to stop during the wait for a slot.
-    if (m_router.m_hooks.refusesNewWork(currentTime())) {
+    if (m_router.m_hooks.rejectsNewRequests(currentTime())) {
         return notRunResult("draining");
     }
     dispatch_request request;
@@ -489,7 +489,7 @@
         return respondWithError(notRunResult("malformed-forwarded-request", 400));
     }
     readSubsidiary();
-    removeOwnFields(m_message);
+    removePersimmonrailFields(m_message);
     m_target = *std::move(target);
     m_deadline = m_startedAt + milliseconds(remainingMs);
     m_view = m_router.m_hooks.view();
--- a/src/persimmonrail/gateway/servers.cpp
+++ b/src/persimmonrail/gateway/servers.cpp
@@ -86,7 +86,7 @@
     if (path == "/v1/announce" && method == "POST") {
         serveAnnouncement(exchange, hooks);
     } else if (path == "/metrics" && isRead) {
-        exchange.respond(200, hooks.metricsText(), metricsType);
+        exchange.respond(200, hooks.renderMetrics(), metricsType);
     } else if (path == "/healthz" && isRead) {
         exchange.respond(200, "ok\n", "text/plain");
     } else if (path == "/readyz" && isRead) {
--- a/src/persimmonrail/gateway/servers.h
+++ b/src/persimmonrail/gateway/servers.h
@@ -47,7 +47,7 @@
     // HTTP 409 response. Required.
     std::function<absl::Status(const upstream_announcement &announcement)> announce;
     // Returns the text of /metrics. Required.
-    std::function<std::string()> metricsText;
+    std::function<std::string()> renderMetrics;
     // Returns the reason why the daemon is not ready, or an empty text if it is ready. Optional:
     // the daemon always counts as ready without it.
     std::function<std::string()> notReadyReason;
--- a/src/persimmonrail/gateway/tests/admin_test.cpp
+++ b/src/persimmonrail/gateway/tests/admin_test.cpp
@@ -19,7 +19,7 @@
         announced.push_back(announcement.instance);
         return announced.size() < 2 ? absl::OkStatus() : absl::FailedPreconditionError("other");
     };
-    hooks.metricsText = [&] { return owner.counters.renderText(); };
+    hooks.renderMetrics = [&] { return owner.counters.renderText(); };
     hooks.notReadyReason = [&] { return notReady; };
     hooks.explain = [&](const std::string &service, const std::string &key) {
         return owner.router->explain(service, key, std::chrono::steady_clock::now());
--- a/src/persimmonrail/gateway/tests/crash_quarantine_test.cpp
+++ b/src/persimmonrail/gateway/tests/crash_quarantine_test.cpp
@@ -17,10 +17,10 @@
     {
         first = &fleet.add("first", service, [this](auto &added) {
             added.hooks.quarantine = &quarantine;
-            added.hooks.atMostOnceBegin = [this](auto, auto key, const auto &, auto) {
+            added.hooks.beginAtMostOnce = [this](auto, auto key, const auto &, auto) {
                 return beginAtMostOnce(*parseIdempotencyKey(key));
             };
-            added.hooks.atMostOnceEnd = [this](auto, auto key, auto outcome, auto response) {
+            added.hooks.endAtMostOnce = [this](auto, auto key, auto outcome, auto response) {
                 atMostOnceTable.end("standin", *parseIdempotencyKey(key), outcome, response);
             };
         });
@@ -37,10 +37,10 @@
         using std::chrono::hours;
         const auto verdict =
             atMostOnceTable.begin("standin", key, key.issuedAt() - hours(1), key.issuedAt());
-        if (verdict.what == at_most_once_verdict::action::Proceed) {
+        if (verdict.decision == at_most_once_verdict::action::Proceed) {
             return {};
         }
-        return {at_most_once_verdict::action::Refuse, nullptr, verdict.outcome,
+        return {at_most_once_verdict::action::Reject, nullptr, verdict.outcome,
                 std::string(verdict.reason)};
     }
 
@@ -52,7 +52,7 @@
     {
         fields.emplace_back("X-Crash: 1");
         auto response = call(first->callerServer->address(), method, uri, body, fields);
-        quarantine.noteCrash(std::chrono::steady_clock::now());
+        quarantine.recordCrash(std::chrono::steady_clock::now());
         return response;
     }
 
--- a/src/persimmonrail/gateway/tests/draining_test.cpp
+++ b/src/persimmonrail/gateway/tests/draining_test.cpp
@@ -15,7 +15,7 @@
             std::atomic<bool> isStopping = !stopsDuringAdmission;
             test_fleet fleet;
             auto &first = fleet.add("first", service, [&](test_fleet::daemon &added) {
-                added.hooks.refusesNewWork = [&](steady_time) { return isStopping.load(); };
+                added.hooks.rejectsNewRequests = [&](steady_time) { return isStopping.load(); };
                 added.hooks.admit = [&](auto &&...) -> admission_result {
                     isStopping = true;
                     return std::make_unique<admission_ticket>();
--- a/src/persimmonrail/gateway/tests/gateway_test.cpp
+++ b/src/persimmonrail/gateway/tests/gateway_test.cpp
@@ -169,7 +169,7 @@
     fleet.add("frozen");
     auto &standby = fleet.add("standby");
     auto &ingress = fleet.add("ingress", "", [](test_fleet::daemon &daemon) {
-        daemon.hooks.retryBudget = [](bool, steady_time) { return true; };
+        daemon.hooks.consumeRetryBudget = [](bool, steady_time) { return true; };
     });
     standby.holdsLease = true;
     fleet.setPlacement("frozen", {"standby"});
@@ -233,7 +233,7 @@
                 CHECK(response.status == 502);
                 CHECK(response.reason == "truncated-answer");
             }
-            CHECK((response.outcome == "run") == (truncateAfter > bodyPieceBytes));
+            CHECK((response.outcome == "run") == (truncateAfter > maxBodyPieceBytes));
         }
     }
 }
@@ -406,8 +406,8 @@
     at_most_once_verdict nextVerdict;
     std::vector<std::pair<request_outcome, bool>> endedRequests;
     auto &owner = fleet.add("owner", "standin", [&](test_fleet::daemon &daemon) {
-        daemon.hooks.atMostOnceBegin = [&](auto, auto, const auto &, auto) { return nextVerdict; };
-        daemon.hooks.atMostOnceEnd = [&](auto, auto, request_outcome outcome,
+        daemon.hooks.beginAtMostOnce = [&](auto, auto, const auto &, auto) { return nextVerdict; };
+        daemon.hooks.endAtMostOnce = [&](auto, auto, request_outcome outcome,
                                          const std::shared_ptr<const stored_response> &response) {
             endedRequests.emplace_back(outcome, response != nullptr);
             nextVerdict = {at_most_once_verdict::action::Replay, response, {}, ""};
@@ -427,7 +427,7 @@
         CHECK(response.head.get("X-Checksum") == standinChecksum("1"));
     }
     CHECK(runCount(owner) == 1);
-    nextVerdict = {at_most_once_verdict::action::Refuse, nullptr, request_outcome::Unknown,
+    nextVerdict = {at_most_once_verdict::action::Reject, nullptr, request_outcome::Unknown,
                    "older-tenure"};
     CHECK(post().status == 502);
     CHECK(post().reason == "older-tenure");
@@ -445,7 +445,7 @@
     test_fleet fleet;
     int retriesRequested = 0;
     auto &owner = fleet.add("owner", "standin", [&](test_fleet::daemon &daemon) {
-        daemon.hooks.retryBudget = [&](bool isRetry, steady_time) {
+        daemon.hooks.consumeRetryBudget = [&](bool isRetry, steady_time) {
             return !isRetry || ++retriesRequested < 2;
         };
     });
@@ -472,7 +472,7 @@
     fleet.setTimeout(300ms);
     std::atomic<int> lookups = 0;
     auto &owner = fleet.add("owner", "standin", [&](test_fleet::daemon &daemon) {
-        daemon.hooks.retryBudget = [](bool, steady_time) { return true; };
+        daemon.hooks.consumeRetryBudget = [](bool, steady_time) { return true; };
         daemon.onLeaseLookup = [&] { daemon.holdsLease = ++lookups == 1; };
     });
     fleet.setPlacement("owner");
@@ -492,7 +492,7 @@
     test_fleet fleet;
     std::vector<std::string> attempts;
     auto &ingress = fleet.add("ingress", "", [&](test_fleet::daemon &daemon) {
-        daemon.hooks.attemptEnded = [&](auto, const member_record &member, request_outcome outcome,
+        daemon.hooks.onAttemptEnd = [&](auto, const member_record &member, request_outcome outcome,
                                         auto, auto, auto) {
             attempts.push_back(member.id.name + " " + std::string(toString(outcome)));
         };
--- a/src/persimmonrail/gateway/silent_peers.cpp
+++ b/src/persimmonrail/gateway/unresponsive_peers.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/gateway/silent_peers.h"
+#include "persimmonrail/gateway/unresponsive_peers.h"
 
 namespace persimmonrail {
 namespace {
@@ -10,14 +10,14 @@
 
 } // namespace
 
-void silent_peers::mark(const std::string &address, steady_time now)
+void unresponsive_peers::mark(const std::string &address, steady_time now)
 {
     const std::lock_guard lock(m_mutex);
     std::erase_if(m_excludedUntil, [now](const auto &entry) { return entry.second <= now; });
     m_excludedUntil[address] = now + exclusionTime;
 }
 
-bool silent_peers::contains(std::string_view address, steady_time now) const
+bool unresponsive_peers::contains(std::string_view address, steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
     const auto entry = m_excludedUntil.find(address);
--- a/src/persimmonrail/gateway/silent_peers.h
+++ b/src/persimmonrail/gateway/unresponsive_peers.h
@@ -14,7 +14,7 @@
 // daemon is unresponsive. Without this record, each request would wait for such a peer again.
 //
 // Thread safe.
-class silent_peers
+class unresponsive_peers
 {
 public:
     // Marks a peer as unresponsive for two seconds.
--- a/src/persimmonrail/http/connection_pool.cpp
+++ b/src/persimmonrail/http/connection_pool.cpp
@@ -59,7 +59,7 @@
                                                                      steady_time until)
 {
     const steady_time idleSince =
-        now - (repeatable ? m_options.idleTime : m_options.nonRepeatableIdleTimeout);
+        now - (repeatable ? m_options.idleTimeout : m_options.nonRepeatableIdleTimeout);
     while (std::unique_ptr<http_stream> stream = acquireIdle(address, idleSince)) {
         // A connection with input was closed by its peer, or holds bytes that belong to no
         // exchange, and can't be reused.
@@ -75,7 +75,7 @@
 {
     const auto remaining =
         std::chrono::duration_cast<std::chrono::microseconds>(std::min<std::chrono::nanoseconds>(
-            until - std::chrono::steady_clock::now(), m_options.connectTime));
+            until - std::chrono::steady_clock::now(), m_options.connectTimeout));
     if (remaining.count() <= 0) {
         return absl::UnavailableError("deadline passed before connecting");
     }
@@ -110,7 +110,7 @@
     const std::lock_guard lock(m_mutex);
     while (!m_idle.empty()
            && (m_idle.size() >= m_options.maxIdle
-               || m_idle.front().idleSince <= now - m_options.idleTime)) {
+               || m_idle.front().idleSince <= now - m_options.idleTimeout)) {
         closeLongestIdle();
     }
     auto &idleAtAddress = m_byAddress[connection.address];
--- a/src/persimmonrail/http/http_body.cpp
+++ b/src/persimmonrail/http/http_body.cpp
@@ -126,8 +126,8 @@
     }
     const bool isBounded = m_framing.type != body_framing::kind::UntilClose;
     const size_t capacity = isBounded
-        ? static_cast<size_t>(std::min<uint64_t>(m_remaining, bodyPieceBytes))
-        : bodyPieceBytes;
+        ? static_cast<size_t>(std::min<uint64_t>(m_remaining, maxBodyPieceBytes))
+        : maxBodyPieceBytes;
     piece.resize(capacity);
     size_t count = 0;
     const io_status status = m_stream.readSome(piece.data(), capacity, count, until);
--- a/src/persimmonrail/http/http_client.cpp
+++ b/src/persimmonrail/http/http_client.cpp
@@ -8,7 +8,7 @@
 
 // Maximum number of interim and mismatched responses before the response to a request.
 constexpr int maxInterimResponses = 8;
-// Detail of an exchange that `sendBefore` prevented or `abandonAt` ended.
+// Detail of an exchange that `sendDeadline` prevented or `abandonTime` ended.
 constexpr char leaseEndingDetail[] = "the lease has ended or is about to end";
 
 // One attempt to exchange a request and its response on one connection.
@@ -30,7 +30,7 @@
         if (sendHead() && waitForContinue() && sendBody() && readHead()) {
             readBody();
         }
-        m_result.anySent = m_hasSentBytes;
+        m_result.hasSentBytes = m_hasSentBytes;
         return std::move(m_result);
     }
     // Whether a response head arrived, including interim and mismatched ones.
@@ -71,22 +71,22 @@
     }
 
     // Runs `operation` until `until`. Returns TimedOut with m_abandoned set if the time of
-    // `abandonAt`, which is read again at the end of each step, is reached first.
+    // `abandonTime`, which is read again at the end of each step, is reached first.
     template <typename io_operation>
     io_status runUntilAbandoned(steady_time until, io_operation operation)
     {
-        if (!m_request.abandonAt) {
+        if (!m_request.abandonTime) {
             return operation(until);
         }
         for (;;) {
-            const steady_time abandonAt = m_request.abandonAt();
-            if (std::chrono::steady_clock::now() >= abandonAt) {
+            const steady_time abandonTime = m_request.abandonTime();
+            if (std::chrono::steady_clock::now() >= abandonTime) {
                 m_abandoned = true;
                 return io_status::TimedOut;
             }
-            const io_status status = operation(std::min(until, abandonAt));
-            if (status != io_status::TimedOut || until <= abandonAt
-                || std::chrono::steady_clock::now() < abandonAt) {
+            const io_status status = operation(std::min(until, abandonTime));
+            if (status != io_status::TimedOut || until <= abandonTime
+                || std::chrono::steady_clock::now() < abandonTime) {
                 return status;
             }
         }
@@ -105,7 +105,7 @@
             }
             m_result.deadlinePassed = !m_isSilent;
             return m_isSilent
-                ? fail(exchange_state::Silent,
+                ? fail(exchange_state::Unresponsive,
                        "connection made no progress while a new connection to the peer responded")
                 : fail(exchange_state::TimedOut, "deadline passed");
         case io_status::Cancelled:
@@ -163,7 +163,7 @@
             m_result.deadlinePassed = true;
             return fail(exchange_state::NotSent, "deadline passed");
         }
-        if (m_request.sendBefore && now >= m_request.sendBefore()) {
+        if (m_request.sendDeadline && now >= m_request.sendDeadline()) {
             m_result.leaseEnding = true;
             return fail(exchange_state::NotSent, leaseEndingDetail);
         }
@@ -206,7 +206,7 @@
                 }
                 return status == io_status::TimedOut
                     ? fail(exchange_state::TimedOut, "request body was incomplete at the deadline")
-                    : fail(status == io_status::Malformed ? exchange_state::BadRequestBody
+                    : fail(status == io_status::Malformed ? exchange_state::MalformedRequestBody
                                                           : exchange_state::CallerDisconnected,
                            "request body is incomplete or malformed");
             }
@@ -321,7 +321,7 @@
                 continue;
             }
             first += piece;
-            if (first.size() >= bodyPieceBytes && !reader.isComplete()) {
+            if (first.size() >= maxBodyPieceBytes && !reader.isComplete()) {
                 hasBegun = m_result.responseStarted = true;
                 if (!m_sink.begin(m_result.head, forwardedFraming(), first, false)) {
                     return failDisconnectedSink();
@@ -338,7 +338,7 @@
             ? m_sink.finish()
             : m_sink.begin(m_result.head, forwardedFraming(), first, true);
         // The response is complete even if its receiver has disconnected meanwhile.
-        m_result.sinkGone = !wasAccepted;
+        m_result.receiverDisconnected = !wasAccepted;
         m_result.state = exchange_state::Complete;
     }
 
@@ -354,7 +354,7 @@
     void failDisconnectedSink()
     {
         m_isReusable = false;
-        m_result.sinkGone = true;
+        m_result.receiverDisconnected = true;
         fail(exchange_state::CallerDisconnected, "caller disconnected");
     }
 
@@ -391,13 +391,13 @@
         return "truncated-answer";
     case exchange_state::TimedOut:
         return "deadline-exceeded";
-    case exchange_state::Silent:
+    case exchange_state::Unresponsive:
         return "silent-connection";
     case exchange_state::Abandoned:
         return "lease-ended";
     case exchange_state::CallerDisconnected:
         return "caller-disconnected";
-    case exchange_state::BadRequestBody:
+    case exchange_state::MalformedRequestBody:
         return "malformed-request-body";
     }
     return "no-answer";
@@ -414,7 +414,7 @@
     // If an earlier attempt sent bytes of the request, the request may have run, even if the last
     // attempt sent nothing.
     const auto withEarlierAttempts = [&wasSentEarlier](exchange_result result) {
-        result.anySent = result.anySent || wasSentEarlier;
+        result.hasSentBytes = result.hasSentBytes || wasSentEarlier;
         if (wasSentEarlier && result.state == exchange_state::NotSent) {
             result.state = exchange_state::NoResponse;
         }
@@ -438,12 +438,12 @@
         const bool wasClosedBeforeResponse = !current.hasReceivedHead()
             && (result.state == exchange_state::NotSent
                 || result.state == exchange_state::NoResponse);
-        const bool canResend = !result.anySent || request.repeatable;
+        const bool canResend = !result.hasSentBytes || request.repeatable;
         if (connection->reused && wasClosedBeforeResponse && canResend && !result.leaseEnding
             && !result.deadlinePassed && (request.body == nullptr || request.body->rewind())) {
             m_pool->closeIdle(request.address);
             needsNewConnection = true;
-            wasSentEarlier = result.anySent;
+            wasSentEarlier = result.hasSentBytes;
             continue;
         }
         const bool isFinished =
--- a/src/persimmonrail/http/http_client.h
+++ b/src/persimmonrail/http/http_client.h
@@ -24,14 +24,14 @@
     size_t maxIdle = 512;
     // Connections that have been idle for this time are not reused. The value is well below the
     // idle timeout of the servers (30 s), so that a server rarely closes a connection first.
-    milliseconds idleTime{10000};
+    milliseconds idleTimeout{10000};
     // A request that may not be repeated reuses only connections that have been idle for less than
     // this time. A crowded server closes idle connections after 1 s, and a request sent at that
     // moment would end with an unknown outcome.
     milliseconds nonRepeatableIdleTimeout{500};
     // Timeout for establishing a connection, after which the address counts as unreachable. Within
     // one region, connecting takes a few milliseconds.
-    milliseconds connectTime{1000};
+    milliseconds connectTimeout{1000};
     // Enables TCP keep-alive, which detects a lost peer while nothing is sent on the connection,
     // as during a long-polling watch.
     bool keepAlive = false;
@@ -54,7 +54,7 @@
     // Returns an idle connection that its peer has not closed, or establishes a new one.
     // `repeatable` tells whether the request to be sent may be repeated. Errors:
     // FailedPrecondition if the peer refuses the connection, Unavailable if no connection can be
-    // established before `until` or within `connectTime`.
+    // established before `until` or within `connectTimeout`.
     absl::StatusOr<connection> acquire(const std::string &address, bool repeatable, steady_time now,
                                        steady_time until);
     // Establishes a new connection, with the errors of acquire().
@@ -105,7 +105,7 @@
 {
 public:
     virtual ~response_sink() = default;
-    // Called once, when either the whole body or at least its first bodyPieceBytes bytes have
+    // Called once, when either the whole body or at least its first maxBodyPieceBytes bytes have
     // arrived. If `isComplete` is set, `first` is the whole body, and neither write() nor finish()
     // follows. Returns false if the receiver has disconnected.
     virtual bool begin(const Poco::Net::HTTPResponse &head, const body_framing &framing,
@@ -133,13 +133,13 @@
     // The deadline passed.
     TimedOut,
     // The connection made no progress, while a new connection to the same address responded.
-    Silent,
-    // The time that `abandonAt` returns was reached after bytes of the request were sent.
+    Unresponsive,
+    // The time that `abandonTime` returns was reached after bytes of the request were sent.
     Abandoned,
     // The caller closed the connection, or the request body ended early.
     CallerDisconnected,
     // The framing of the request body is invalid.
-    BadRequestBody,
+    MalformedRequestBody,
 };
 
 // Returns the fixed name of a state for reasons and error messages.
@@ -163,11 +163,11 @@
     steady_time deadline;
     // The client does not start to send the request at or after the time that this function
     // returns. An empty function sets no limit.
-    std::function<steady_time()> sendBefore;
+    std::function<steady_time()> sendDeadline;
     // Returns the time at which an exchange in progress is abandoned. An empty function sets no
-    // limit. The times of `sendBefore` and `abandonAt` depend on a lease that may be renewed while
-    // the exchange runs, so the client calls these functions anew at each check.
-    std::function<steady_time()> abandonAt;
+    // limit. The times of `sendDeadline` and `abandonTime` depend on a lease that may be renewed
+    // while the exchange runs, so the client calls these functions anew at each check.
+    std::function<steady_time()> abandonTime;
     // Connection of the caller, null if there is none. The exchange ends if the caller closes the
     // connection while the client waits.
     http_stream *caller = nullptr;
@@ -175,7 +175,7 @@
     // client waits until the deadline.
     milliseconds progressTimeout{0};
     // Tests the peer over a new connection. Returns true if the peer responds there, which means
-    // that this connection has failed and the exchange ends as Silent.
+    // that this connection has failed and the exchange ends as Unresponsive.
     std::function<bool()> probe;
     // Whether the close of the connection may mark the end of a response that states no length.
     // Only for upstreams known to respond in this way: a truncated response can't be distinguished
@@ -195,8 +195,9 @@
 {
     exchange_state state = exchange_state::NotSent;
     // Whether any byte of the request was sent, on the last connection or an earlier one.
-    bool anySent = false;
-    // Whether `sendBefore` prevented the request, or `abandonAt` ended a wait on the connection.
+    bool hasSentBytes = false;
+    // Whether `sendDeadline` prevented the request, or `abandonTime` ended a wait on the
+    // connection.
     bool leaseEnding = false;
     // Whether the deadline prevented the request, or ended a wait on the connection.
     bool deadlinePassed = false;
@@ -205,7 +206,7 @@
     // Whether the sink has been called.
     bool responseStarted = false;
     // Whether the sink reported that its receiver has disconnected.
-    bool sinkGone = false;
+    bool receiverDisconnected = false;
     // Valid if `state` is Complete or Declined.
     Poco::Net::HTTPResponse head;
     // Explanation for logs and error messages.
--- a/src/persimmonrail/http/http_server.cpp
+++ b/src/persimmonrail/http/http_server.cpp
@@ -522,7 +522,7 @@
     m_state->stopListening();
 }
 
-bool http_server::waitClosed(steady_time until)
+bool http_server::waitUntilClosed(steady_time until)
 {
     return m_state->waitUntilClosed(until);
 }
--- a/src/persimmonrail/http/http_server.h
+++ b/src/persimmonrail/http/http_server.h
@@ -22,15 +22,15 @@
     // Returns the connection to the client.
     http_stream &connection() { return m_stream; }
 
-    // Body of the request. A body of at most bodyPieceBytes bytes is buffered while it is read, so
-    // that it can be read again after rewind().
+    // Body of the request. A body of at most maxBodyPieceBytes bytes is buffered while it is read,
+    // so that it can be read again after rewind().
     body_framing framing() const override { return m_reader.framing(); }
     io_status read(std::string &piece, steady_time until) override;
     bool rewind() override;
     // Waits until the first `bytes` bytes of the body, or the whole body, have arrived, and sets
     // `first` to them. The following read() returns these bytes again. Call peek() only before the
     // first read() or after rewind(). `first` is valid until the next call on this object, and
-    // holds at most bodyPieceBytes bytes more than requested.
+    // holds at most maxBodyPieceBytes bytes more than requested.
     io_status peek(size_t bytes, std::string_view &first, steady_time until);
     // Reads the whole body. Returns TooLarge if the body exceeds `maxBytes` bytes.
     io_status readAll(std::string &body, size_t maxBytes, steady_time until);
@@ -42,8 +42,8 @@
     // endResponse(). Each returns false if the client has disconnected; endResponse() also does so
     // if the body is shorter or longer than its framing states. The server closes the connection
     // if a response is not ended, so that the client detects the truncation. beginResponse() also
-    // discards an unread body whose stated length is at most bodyPieceBytes, so that the connection
-    // can be reused.
+    // discards an unread body whose stated length is at most maxBodyPieceBytes, so that the
+    // connection can be reused.
     bool beginResponse(Poco::Net::HTTPResponse &head, const body_framing &framing);
     bool writeResponse(std::string_view piece);
     bool endResponse();
@@ -123,7 +123,7 @@
     // response; idle connections are closed soon, unless a request still arrives.
     void stopListening();
     // Waits until no connection is open. Returns false if `until` passes first.
-    bool waitClosed(steady_time until);
+    bool waitUntilClosed(steady_time until);
 
 private:
     class state;
--- a/src/persimmonrail/http/http_stream.cpp
+++ b/src/persimmonrail/http/http_stream.cpp
@@ -219,7 +219,7 @@
     return io_status::Ok;
 }
 
-bool http_stream::waitClosed(steady_time until)
+bool http_stream::waitUntilClosed(steady_time until)
 {
     return wait(POLLRDHUP, until) != io_status::TimedOut;
 }
--- a/src/persimmonrail/http/http_stream.h
+++ b/src/persimmonrail/http/http_stream.h
@@ -13,7 +13,7 @@
 namespace persimmonrail {
 
 // Maximum size of the pieces in which bodies are forwarded, which bounds the memory of an exchange.
-inline constexpr size_t bodyPieceBytes = 64 * 1024;
+inline constexpr size_t maxBodyPieceBytes = 64 * 1024;
 // Maximum size of a request or response head.
 inline constexpr size_t maxHeadBytes = 32 * 1024;
 
@@ -74,7 +74,7 @@
     io_status write(std::string_view bytes, size_t &written, steady_time until,
                     bool stopOnInput = false);
     // Waits until the peer closes the connection. Returns false if `until` passes first.
-    bool waitClosed(steady_time until);
+    bool waitUntilClosed(steady_time until);
 
     // Returns whether the last read found that the peer had ended its sending direction without a
     // reset.
--- a/src/persimmonrail/http/server_exchange.cpp
+++ b/src/persimmonrail/http/server_exchange.cpp
@@ -19,7 +19,7 @@
     if (m_shouldReplayBuffer) {
         m_shouldReplayBuffer = false;
         piece = m_bufferedBody;
-        if (m_bufferedBody.size() > bodyPieceBytes) {
+        if (m_bufferedBody.size() > maxBodyPieceBytes) {
             m_canReplayBody = false;
             std::string().swap(m_bufferedBody);
         }
@@ -29,7 +29,7 @@
     }
     const io_status status = readFromConnection(piece, until);
     if (status == io_status::Ok && m_canReplayBody) {
-        if (m_bufferedBody.size() + piece.size() <= bodyPieceBytes) {
+        if (m_bufferedBody.size() + piece.size() <= maxBodyPieceBytes) {
             m_bufferedBody += piece;
         } else {
             m_canReplayBody = false;
@@ -125,7 +125,7 @@
     m_hasResponseStarted = true;
     // An unread small body is discarded, so that the connection can be reused.
     if (!m_reader.isComplete() && m_reader.framing().type == body_framing::kind::Length
-        && m_reader.framing().length <= bodyPieceBytes && !m_request.getExpectContinue()) {
+        && m_reader.framing().length <= maxBodyPieceBytes && !m_request.getExpectContinue()) {
         std::string piece;
         const steady_time until = std::chrono::steady_clock::now() + m_idleTimeout;
         while (!m_reader.isComplete() && m_reader.read(piece, until) == io_status::Ok) { }
--- a/src/persimmonrail/http/tests/http_test.cpp
+++ b/src/persimmonrail/http/tests/http_test.cpp
@@ -213,7 +213,7 @@
         });
         connection_pool_options options;
         options.nonRepeatableIdleTimeout = testTimeout;
-        options.idleTime = testTimeout;
+        options.idleTimeout = testTimeout;
         const auto pool = std::make_shared<connection_pool>(options);
         http_client client(pool);
         recording_sink sink;
@@ -222,7 +222,7 @@
         REQUIRE(client.exchange(request, sink).state == exchange_state::Complete);
         REQUIRE(pool->idleCount() == 1);
         if (row.closesWhileIdle) {
-            server.waitClosed(1);
+            server.waitUntilClosed(1);
         }
         CHECK(toString(client.exchange(request, sink).state) == toString(row.state));
         CHECK(server.connectionCount() == (row.state == exchange_state::Complete ? 2 : 1));
@@ -262,7 +262,7 @@
         readHeadText(socket);
     });
     connection_pool_options options;
-    options.idleTime = testTimeout;
+    options.idleTimeout = testTimeout;
     http_client client(std::make_shared<connection_pool>(options));
     recording_sink sink;
     client_request request = requestTo(body.server->address());
@@ -289,7 +289,7 @@
         request.progressTimeout = 20ms;
         request.probe = [probeSucceeds] { return probeSucceeds; };
         const exchange_state expected =
-            probeSucceeds ? exchange_state::Silent : exchange_state::TimedOut;
+            probeSucceeds ? exchange_state::Unresponsive : exchange_state::TimedOut;
         CHECK(toString(client.exchange(request, sink).state) == toString(expected));
     }
 }
@@ -424,7 +424,7 @@
         stepChanged.wait(lock, [&] { return step == 1; });
     }
     (*server)->stopListening();
-    CHECK_FALSE((*server)->waitClosed(timeAfter(0ms)));
+    CHECK_FALSE((*server)->waitUntilClosed(timeAfter(0ms)));
     http_client client(std::make_shared<connection_pool>());
     recording_sink sink;
     CHECK(client.exchange(requestTo(address), sink).state == exchange_state::NotSent);
@@ -433,7 +433,7 @@
         step = 2;
         stepChanged.notify_all();
     }
-    CHECK((*server)->waitClosed(timeAfter(testTimeout)));
+    CHECK((*server)->waitUntilClosed(timeAfter(testTimeout)));
     callerThread.join();
     CHECK(response.substr(response.size() - 5) == "whole");
 }
@@ -477,7 +477,7 @@
     CHECK(usageAfter.ru_nvcsw - usageBefore.ru_nvcsw < 16);
     const steady_time start = std::chrono::steady_clock::now();
     server->stopListening();
-    CHECK(server->waitClosed(timeAfter(testTimeout)));
+    CHECK(server->waitUntilClosed(timeAfter(testTimeout)));
     CHECK(std::chrono::steady_clock::now() - start < 1900ms);
 }
 
--- a/src/persimmonrail/keyspace/key_placement.cpp
+++ b/src/persimmonrail/keyspace/key_placement.cpp
@@ -59,7 +59,7 @@
     for (owned_range &range : ranges) {
         if (!result.empty() && result.back().owner == range.owner
             && result.back().fence == range.fence && result.back().handover == range.handover
-            && result.back().takeOverAfter == range.takeOverAfter
+            && result.back().takeoverDelay == range.takeoverDelay
             && result.back().previousOwner == range.previousOwner) {
             result.back().keys.last = range.keys.last;
         } else {
@@ -129,7 +129,7 @@
     const int64_t handover =
         range.handover.empty() ? string_table::noIndex : table.add(range.handover);
     return absl::StrCat(range.keys.last, ",", table.add(range.owner), ",", range.fence, ",",
-                        handover, ",", range.takeOverAfter.count(), ",",
+                        handover, ",", range.takeoverDelay.count(), ",",
                         table.add(range.previousOwner));
 }
 
--- a/src/persimmonrail/keyspace/key_placement.h
+++ b/src/persimmonrail/keyspace/key_placement.h
@@ -41,7 +41,7 @@
     // Not 0 while a previous owner may still hold the keys. The new owner's daemon waits for this
     // time after it first reads the record, clears the field with a conditional write and only then
     // grants the keys.
-    milliseconds takeOverAfter{0};
+    milliseconds takeoverDelay{0};
     // Owner before a pending takeover. It may reclaim the keys until the takeover is activated.
     upstream_id previousOwner;
 
--- a/src/persimmonrail/keyspace/range_lease_manager.cpp
+++ b/src/persimmonrail/keyspace/range_lease_manager.cpp
@@ -16,7 +16,7 @@
     return holdTime + holdTime * maxDriftPercent / 100;
 }
 
-milliseconds range_lease_timing::takeOverAfter() const
+milliseconds range_lease_timing::takeoverDelay() const
 {
     // A grant may be sent just before the lease expires and then takes time to arrive.
     return leaseDuration + maxHold() + maxGrantTransit;
@@ -33,7 +33,7 @@
     onConfirmed(confirmedAt);
     std::vector<std::pair<uint64_t, boot_time>> pending;
     for (const owned_range &range : m_placement.ranges) {
-        if (range.takeOverAfter.count() == 0 || !isOwn(range)) {
+        if (range.takeoverDelay.count() == 0 || !isOwn(range)) {
             continue;
         }
         const auto known =
@@ -95,7 +95,7 @@
     return remaining;
 }
 
-std::vector<range_grant> range_lease_manager::heldWithin(key_interval keys) const
+std::vector<range_grant> range_lease_manager::grantsWithin(key_interval keys) const
 {
     std::vector<range_grant> within;
     for (const held_grant &held : m_held) {
@@ -126,7 +126,7 @@
 milliseconds range_lease_manager::maxSafeHold(boot_time now) const
 {
     const auto untilTakeover = std::chrono::duration_cast<milliseconds>(
-        m_confirmedAt + m_timing.takeOverAfter() - maxGrantTransit - now);
+        m_confirmedAt + m_timing.takeoverDelay() - maxGrantTransit - now);
     return untilTakeover * 100 / (100 + m_timing.maxDriftPercent);
 }
 
@@ -137,7 +137,7 @@
         return due;
     }
     for (const owned_range &range : m_placement.ranges) {
-        if (!isOwn(range) || range.takeOverAfter.count() > 0) {
+        if (!isOwn(range) || range.takeoverDelay.count() > 0) {
             continue;
         }
         for (const key_interval &keys : excludeMoving(range.keys)) {
@@ -151,7 +151,7 @@
     return due;
 }
 
-bool range_lease_manager::maySend(const range_grant &grant, boot_time now) const
+bool range_lease_manager::canSend(const range_grant &grant, boot_time now) const
 {
     if (!hasLease(now) || isMoving(grant.keys)) {
         return false;
@@ -180,7 +180,7 @@
     m_unconfirmed.push_back({grant.keys, endsAt});
 }
 
-void range_lease_manager::noteStart(boot_time startedAt)
+void range_lease_manager::recordDaemonStart(boot_time startedAt)
 {
     onGrantUnconfirmed({key_interval(), 0, ""}, m_timing.holdTime, startedAt);
 }
@@ -194,7 +194,7 @@
                         });
 }
 
-void range_lease_manager::onGrantRefused(const range_grant &grant)
+void range_lease_manager::onGrantRejected(const range_grant &grant)
 {
     std::erase_if(m_held, [&](const held_grant &held) {
         return held.grant.fence == grant.fence && held.grant.keys == grant.keys;
@@ -247,13 +247,13 @@
             const auto pending =
                 std::find_if(m_pendingTakeovers.begin(), m_pendingTakeovers.end(),
                              [&](const auto &entry) { return entry.first == range.fence; });
-            return isOwn(range) && range.takeOverAfter.count() > 0
+            return isOwn(range) && range.takeoverDelay.count() > 0
                 && pending != m_pendingTakeovers.end()
-                && now - pending->second >= range.takeOverAfter;
+                && now - pending->second >= range.takeoverDelay;
         });
 }
 
-bool range_lease_manager::mayServe(shard_key key, boot_time now) const
+bool range_lease_manager::canServe(shard_key key, boot_time now) const
 {
     if (isMoving({key, key})) {
         return false;
--- a/src/persimmonrail/keyspace/range_lease_manager.h
+++ b/src/persimmonrail/keyspace/range_lease_manager.h
@@ -30,7 +30,7 @@
 
     // Returns the time after the last confirmation by the store at which an owner that is lost or
     // has lost the store certainly holds no key.
-    milliseconds takeOverAfter() const;
+    milliseconds takeoverDelay() const;
     // Returns the longest time for which one grant is in force, with the clock error included.
     milliseconds maxHold() const;
 };
@@ -64,7 +64,7 @@
     void onConfirmed(boot_time confirmedAt);
     // Records the start of this daemon. Its previous incarnation may have sent grants until
     // `startedAt` that the upstream did not answer.
-    void noteStart(boot_time startedAt);
+    void recordDaemonStart(boot_time startedAt);
     // Sets the local upstream; `upstream` is empty if no local upstream may hold keys. Grants of
     // another incarnation are forgotten.
     void setUpstream(const std::optional<upstream_id> &upstream);
@@ -78,7 +78,7 @@
     // Returns whether a grant of dueGrants() may still be sent at `now`. In the meantime its keys
     // may have been selected for a move or recorded for another owner, or the lease may have
     // expired.
-    bool maySend(const range_grant &grant, boot_time now) const;
+    bool canSend(const range_grant &grant, boot_time now) const;
     // Records that the upstream accepted a grant. `sentAt` is the time at which the call was sent,
     // so the grant ends no earlier at the upstream than the hold time after `sentAt`.
     void onGranted(const range_grant &grant, boot_time sentAt);
@@ -91,7 +91,7 @@
     bool canMove(key_interval keys, boot_time now) const;
     // Records that the upstream rejected a grant, since it knows a higher fence or runs as another
     // incarnation.
-    void onGrantRefused(const range_grant &grant);
+    void onGrantRejected(const range_grant &grant);
     // Returns the grants whose keys are no longer recorded for the local upstream.
     std::vector<range_grant> dueReleases() const;
     // Records that the upstream released its grants of `keys` whose fence is at most `fence`.
@@ -102,14 +102,14 @@
     void setMoving(std::vector<key_interval> keys) { m_moving = std::move(keys); }
     const std::vector<key_interval> &moving() const { return m_moving; }
     // Returns the grants that overlap the interval, each clipped to it and without handover token.
-    std::vector<range_grant> heldWithin(key_interval keys) const;
+    std::vector<range_grant> grantsWithin(key_interval keys) const;
 
     // Returns whether a takeover recorded for the local upstream may be activated.
     bool isTakeoverDue(boot_time now) const;
     // Returns whether the last confirmation by the store is younger than the lease duration.
     bool hasLease(boot_time now) const;
     // Returns whether a request for the key may be dispatched to the upstream.
-    bool mayServe(shard_key key, boot_time now) const;
+    bool canServe(shard_key key, boot_time now) const;
     // Returns the intervals whose grants are in force.
     std::vector<key_interval> servedIntervals(boot_time now) const;
     // Returns the last placement of onPlacement(), for reports.
--- a/src/persimmonrail/keyspace/range_plan.cpp
+++ b/src/persimmonrail/keyspace/range_plan.cpp
@@ -58,7 +58,7 @@
     range.owner = owner;
     range.fence = fence;
     range.handover.clear();
-    range.takeOverAfter = milliseconds(0);
+    range.takeoverDelay = milliseconds(0);
     range.previousOwner = {};
 }
 
@@ -81,7 +81,7 @@
 
 key_placement reassignLost(key_placement placement,
                            const std::function<bool(const upstream_id &)> &isLost,
-                           std::vector<range_candidate> candidates, milliseconds takeOverAfter)
+                           std::vector<range_candidate> candidates, milliseconds takeoverDelay)
 {
     std::erase_if(candidates,
                   [&isLost](const range_candidate &candidate) { return isLost(candidate.id); });
@@ -102,12 +102,12 @@
             ? std::vector<range_candidate>{candidates[nextCandidate++ % candidates.size()]}
             : candidates;
         // During a pending takeover the previous owner may still hold the keys.
-        const bool isTakeoverPending = range.takeOverAfter.count() > 0;
+        const bool isTakeoverPending = range.takeoverDelay.count() > 0;
         distribute(range.keys, newOwners, [&](key_interval part, const upstream_id &owner) {
             owned_range &reassigned = placement.isolateRange(part);
             setOwner(reassigned, owner, ++placement.highestFence);
-            reassigned.takeOverAfter = std::max(takeOverAfter, range.takeOverAfter);
-            if (reassigned.takeOverAfter.count() > 0) {
+            reassigned.takeoverDelay = std::max(takeoverDelay, range.takeoverDelay);
+            if (reassigned.takeoverDelay.count() > 0) {
                 reassigned.previousOwner = isTakeoverPending ? range.previousOwner : range.owner;
             }
         });
@@ -130,7 +130,7 @@
 {
     for (owned_range &range : placement.ranges) {
         if (range.owner == owner) {
-            range.takeOverAfter = milliseconds(0);
+            range.takeoverDelay = milliseconds(0);
             range.previousOwner = {};
         }
     }
@@ -142,7 +142,7 @@
 {
     uint64_t fence = 0;
     for (owned_range &range : placement.ranges) {
-        if (range.takeOverAfter.count() > 0 && range.previousOwner == previous) {
+        if (range.takeoverDelay.count() > 0 && range.previousOwner == previous) {
             fence = fence == 0 ? ++placement.highestFence : fence;
             setOwner(range, previous, fence);
         }
@@ -380,7 +380,7 @@
     return moves;
 }
 
-std::optional<planned_move> chooseShareForNewcomer(const key_placement &placement,
+std::optional<planned_move> chooseMoveToEmptyOwner(const key_placement &placement,
                                                    const upstream_id &self,
                                                    const std::vector<range_candidate> &candidates)
 {
--- a/src/persimmonrail/keyspace/range_plan.h
+++ b/src/persimmonrail/keyspace/range_plan.h
@@ -21,12 +21,12 @@
 key_placement assignUnowned(key_placement placement, std::vector<range_candidate> candidates);
 
 // Reassigns the keys of each owner for which `isLost` returns true. Each range is split into
-// contiguous parts with equal shares per slot. `takeOverAfter` is 0 if the lost owners certainly
+// contiguous parts with equal shares per slot. `takeoverDelay` is 0 if the lost owners certainly
 // hold no keys any more. Lost candidates get no keys; if all candidates are lost, the placement is
 // returned unchanged.
 key_placement reassignLost(key_placement placement,
                            const std::function<bool(const upstream_id &)> &isLost,
-                           std::vector<range_candidate> candidates, milliseconds takeOverAfter);
+                           std::vector<range_candidate> candidates, milliseconds takeoverDelay);
 
 // Records `target` as the owner of `keys`. The daemon of the previous owner calls
 // this function after the keys are released; `handover` is the state transfer token of the release.
@@ -95,7 +95,7 @@
 // Chooses keys for a candidate that owns none: the upper half of the longest range of `self`, if
 // `self` owns the most keys. If several candidates own equally many keys, the first of them counts.
 // Returns nothing if another candidate owns more keys or every candidate owns keys.
-std::optional<planned_move> chooseShareForNewcomer(const key_placement &placement,
+std::optional<planned_move> chooseMoveToEmptyOwner(const key_placement &placement,
                                                    const upstream_id &self,
                                                    const std::vector<range_candidate> &candidates);
 
--- a/src/persimmonrail/keyspace/tests/keyspace_test.cpp
+++ b/src/persimmonrail/keyspace/tests/keyspace_test.cpp
@@ -131,14 +131,14 @@
     const auto due = manager.dueGrants(start);
     REQUIRE(due.size() == 1);
     CHECK(due[0].keys == key_interval{0, 32767});
-    CHECK_FALSE(manager.mayServe(5, start));
+    CHECK_FALSE(manager.canServe(5, start));
     manager.onGranted(due[0], start);
-    CHECK(manager.mayServe(5, start));
-    CHECK_FALSE(manager.mayServe(40000, start));
+    CHECK(manager.canServe(5, start));
+    CHECK_FALSE(manager.canServe(40000, start));
     CHECK(manager.dueGrants(start + timing.renewalInterval - 1ms).empty());
     CHECK(manager.dueGrants(start + timing.renewalInterval).size() == 1);
     CHECK(manager.dueGrants(start + timing.leaseDuration).empty());
-    CHECK_FALSE(manager.mayServe(5, start + timing.holdTime));
+    CHECK_FALSE(manager.canServe(5, start + timing.holdTime));
     manager.onConfirmed(start + 5s);
     CHECK(manager.dueGrants(start + timing.leaseDuration).size() == 1);
 }
@@ -155,7 +155,7 @@
     // The record changes right after the store has confirmed the previous owner for the last time.
     const boot_time changedAt = start;
     key_placement after = reassignLost(
-        before, [](const upstream_id &id) { return id == a; }, {{b, 9}}, timing.takeOverAfter());
+        before, [](const upstream_id &id) { return id == a; }, {{b, 9}}, timing.takeoverDelay());
     range_lease_manager newOwner(timing);
     newOwner.setUpstream(b);
     newOwner.onPlacement(after, changedAt, changedAt);
@@ -171,13 +171,13 @@
         const bool mayTakeOver = newOwner.isTakeoverDue(now);
         CAPTURE((now - start).count());
         REQUIRE_FALSE((isHeld && mayTakeOver));
-        if (now < start + timing.takeOverAfter()) {
+        if (now < start + timing.takeoverDelay()) {
             for (const range_grant &grant : newOwner.dueGrants(now)) {
                 REQUIRE(grant.keys.first >= 32768);
             }
         }
     }
-    CHECK(newOwner.isTakeoverDue(start + timing.takeOverAfter()));
+    CHECK(newOwner.isTakeoverDue(start + timing.takeoverDelay()));
     after = activateTakeover(after, b);
     newOwner.onPlacement(after, start + 20s, start + 20s);
     CHECK(newOwner.dueGrants(start + 20s).size() == 2);
@@ -203,7 +203,7 @@
     manager.onPlacement(twoOwners(), start, start);
     for (const boot_time now : {start, start + 2s, start + 6s}) {
         const milliseconds hold = manager.maxSafeHold(now);
-        CHECK(now + hold + hold * timing.maxDriftPercent / 100 <= start + timing.takeOverAfter());
+        CHECK(now + hold + hold * timing.maxDriftPercent / 100 <= start + timing.takeoverDelay());
     }
     CHECK(manager.maxSafeHold(start + 11s) <= 0ms);
 }
@@ -232,9 +232,9 @@
     manager.onPlacement(twoOwners(), start, start);
     manager.onGranted(manager.dueGrants(start).front(), start);
     manager.setMoving({{100, 199}});
-    CHECK(manager.mayServe(99, start));
-    CHECK_FALSE(manager.mayServe(100, start));
-    CHECK(manager.mayServe(200, start));
+    CHECK(manager.canServe(99, start));
+    CHECK_FALSE(manager.canServe(100, start));
+    CHECK(manager.canServe(200, start));
     std::vector<key_interval> renewed;
     for (const range_grant &grant : manager.dueGrants(start + 1s)) {
         renewed.push_back(grant.keys);
@@ -243,10 +243,10 @@
     CHECK(renewed == std::vector<key_interval>{{0, 99}, {200, 32767}});
     manager.onReleased({100, 199}, 1);
     manager.setMoving({});
-    CHECK_FALSE(manager.mayServe(150, start + 1s));
+    CHECK_FALSE(manager.canServe(150, start + 1s));
     manager.onPlacement(moveRange(twoOwners(), {100, 199}, b, "t"), start + 1s, start + 1s);
-    CHECK(manager.mayServe(99, start + 1s));
-    CHECK(manager.mayServe(200, start + 1s));
+    CHECK(manager.canServe(99, start + 1s));
+    CHECK(manager.canServe(200, start + 1s));
     CHECK(manager.dueReleases().empty());
 }
 
@@ -257,14 +257,14 @@
     manager.setUpstream(a);
     manager.onPlacement(twoOwners(), start, start);
     const range_grant grant = manager.dueGrants(start).front();
-    CHECK(manager.maySend(grant, start));
+    CHECK(manager.canSend(grant, start));
     manager.setMoving({{100, 199}});
-    CHECK_FALSE(manager.maySend(grant, start));
+    CHECK_FALSE(manager.canSend(grant, start));
     manager.setMoving({});
-    CHECK_FALSE(manager.maySend(grant, start + 7s));
+    CHECK_FALSE(manager.canSend(grant, start + 7s));
     manager.onPlacement(moveRange(twoOwners(), {100, 199}, b, "t"), start, start);
-    CHECK_FALSE(manager.maySend(grant, start));
-    CHECK(manager.maySend(manager.dueGrants(start).front(), start));
+    CHECK_FALSE(manager.canSend(grant, start));
+    CHECK(manager.canSend(manager.dueGrants(start).front(), start));
 }
 
 // Guards against two owners of one key: an upstream may apply an unanswered grant after the keys
@@ -297,7 +297,7 @@
 TEST_CASE("a restarted daemon moves no keys until earlier grants have ended", "[keyspace]")
 {
     range_lease_manager manager;
-    manager.noteStart(start);
+    manager.recordDaemonStart(start);
     CHECK_FALSE(manager.canMove({7, 7}, start + 3s));
     CHECK(manager.canMove({7, 7}, start + 4s));
 }
@@ -309,7 +309,7 @@
     manager.onPlacement(twoOwners(), start, start);
     manager.onGranted(manager.dueGrants(start).front(), start);
     manager.onPlacement(moveRange(twoOwners(), {0, 32767}, b, ""), start, start);
-    CHECK_FALSE(manager.mayServe(5, start));
+    CHECK_FALSE(manager.canServe(5, start));
     REQUIRE(manager.dueReleases().size() == 1);
     CHECK(manager.dueReleases()[0].keys == key_interval{0, 32767});
 }
@@ -321,7 +321,7 @@
     manager.onPlacement(twoOwners(), start, start);
     manager.onGranted(manager.dueGrants(start).front(), start);
     manager.setUpstream(upstream_id{"a", 2});
-    CHECK_FALSE(manager.mayServe(5, start));
+    CHECK_FALSE(manager.canServe(5, start));
     CHECK(manager.dueGrants(start).empty());
 }
 
@@ -562,10 +562,10 @@
 {
     const std::vector<range_candidate> members{{a, 9}, {b, 9}, {c, 9}};
     const key_placement placement = twoOwners();
-    const auto byA = chooseShareForNewcomer(placement, a, members);
-    const auto byB = chooseShareForNewcomer(placement, b, members);
+    const auto byA = chooseMoveToEmptyOwner(placement, a, members);
+    const auto byB = chooseMoveToEmptyOwner(placement, b, members);
     CHECK(byA.has_value() != byB.has_value());
     CHECK((byA ? *byA : *byB).target == c);
     CHECK((byA ? *byA : *byB).keys.count() == 16384);
-    CHECK_FALSE(chooseShareForNewcomer(placement, a, {{a, 9}, {b, 9}}));
+    CHECK_FALSE(chooseMoveToEmptyOwner(placement, a, {{a, 9}, {b, 9}}));
 }
--- a/src/persimmonrail/ownership/engine_leases.cpp
+++ b/src/persimmonrail/ownership/engine_leases.cpp
@@ -54,8 +54,8 @@
     if (!lease.suspendedAt) {
         lease.suspendedAt = now;
         log(lease, "suspend", "lease expired");
-        if (m_hooks.leaseExpired) {
-            m_hooks.leaseExpired(lease.latest.record.partition);
+        if (m_hooks.onLeaseExpired) {
+            m_hooks.onLeaseExpired(lease.latest.record.partition);
         }
     }
     // If a majority is unreachable, or this process was paused, the missing acknowledgements do not
--- a/src/persimmonrail/ownership/engine_state.h
+++ b/src/persimmonrail/ownership/engine_state.h
@@ -28,7 +28,7 @@
     void onView(std::shared_ptr<const fleet_view> view, steady_time now);
     wire::Reply onRequest(const wire::Request &request, steady_time now);
     void setUpstreamUp(bool isUp, steady_time now);
-    void drainAll(steady_time now);
+    void startShutdown(steady_time now);
     bool isDrained() const;
 
 private:
--- a/src/persimmonrail/ownership/ownership_engine.cpp
+++ b/src/persimmonrail/ownership/ownership_engine.cpp
@@ -128,7 +128,7 @@
     deliverLocalMessages(now);
 }
 
-void ownership_engine::state::drainAll(steady_time now)
+void ownership_engine::state::startShutdown(steady_time now)
 {
     m_isShuttingDown = true;
     for (auto &[partition, lease] : m_leases) {
@@ -273,9 +273,9 @@
     m_state->setUpstreamUp(false, now);
 }
 
-void ownership_engine::drainAll(steady_time now)
+void ownership_engine::startShutdown(steady_time now)
 {
-    m_state->drainAll(now);
+    m_state->startShutdown(now);
 }
 
 bool ownership_engine::isDrained() const
--- a/src/persimmonrail/ownership/ownership_engine.h
+++ b/src/persimmonrail/ownership/ownership_engine.h
@@ -64,7 +64,7 @@
     // Called when the lease of a partition has expired. The hook must cancel the partition's
     // requests in flight if the local upstream does not check grants (rule H4 of docs/design.md).
     // Optional.
-    std::function<void(const std::string &partition)> leaseExpired;
+    std::function<void(const std::string &partition)> onLeaseExpired;
     // Receives one log line for each placement decision. Optional.
     std::function<void(const std::string &line)> log;
 };
@@ -104,9 +104,9 @@
     // Starts a graceful shutdown. Drains every partition and then moves it to its first live
     // standby, or releases it if it has no live standby or the platform is unavailable. Claims no
     // partition from then on.
-    void drainAll(steady_time now);
+    void startShutdown(steady_time now);
     // Returns whether this instance neither claims, holds nor releases any lease. Becomes true some
-    // time after drainAll(). The release messages may not have reached the witnesses yet.
+    // time after startShutdown(). The release messages may not have reached the witnesses yet.
     bool isDrained() const;
 
 private:
--- a/src/persimmonrail/ownership/tests/engine_shutdown_test.cpp
+++ b/src/persimmonrail/ownership/tests/engine_shutdown_test.cpp
@@ -104,7 +104,7 @@
     auto ticket = owner.table.begin("ledger", 7, owner.now);
     REQUIRE(ticket);
     const auto lease = ticket->lease();
-    owner.engine.drainAll(owner.now);
+    owner.engine.startShutdown(owner.now);
     for (int round = 0; round < 20; ++round) {
         owner.run(milliseconds(250));
         CHECK_FALSE(owner.table.begin("ledger", 7, owner.now));
--- a/src/persimmonrail/ownership/tests/simulation.cpp
+++ b/src/persimmonrail/ownership/tests/simulation.cpp
@@ -99,7 +99,7 @@
     m_areFaultsEnabled = false;
     scheduleOnNode(0, m_now + milliseconds(3000), [this, isPlatformUp](node &node) {
         m_isPlatformUp = isPlatformUp;
-        node.engine->drainAll(localTime(node));
+        node.engine->startShutdown(localTime(node));
     });
     scheduleOnNode(0, m_now + milliseconds(6000), [this](node &node) {
         if (!node.engine->isDrained()) {
@@ -285,7 +285,7 @@
             restartNode(node);
         } else if (randomBool(0.5)) {
             scheduleOnNode(node, m_now,
-                           [this](simulation::node &n) { n.engine->drainAll(localTime(n)); });
+                           [this](simulation::node &n) { n.engine->startShutdown(localTime(n)); });
             schedule(std::min(m_now + randomDuration(200, 2000), m_faultsEnd),
                      [this, node] { restartNode(node); });
         }
--- a/src/persimmonrail/proxy/exchange_codec.h
+++ b/src/persimmonrail/proxy/exchange_codec.h
@@ -42,12 +42,12 @@
     NotRun,
     // The upstream did not run the request because the request names another upstream or the
     // upstream does not own the key.
-    WrongTarget,
+    WrongUpstream,
     // Response to another request.
-    Foreign,
+    Mismatched,
     // A success response that lacks the proof that the upstream produced it, or that has a form the
     // request did not ask for.
-    Unsound,
+    Invalid,
 };
 
 // Translates between the proxy's view of an exchange and the platform's header fields. All
@@ -55,10 +55,10 @@
 struct exchange_codec
 {
     // Parses the fields of a caller's request.
-    std::function<caller_fields(const Poco::Net::HTTPRequest &request)> readCall;
+    std::function<caller_fields(const Poco::Net::HTTPRequest &request)> readCallerFields;
     // Sets the fields of a request for the upstream.
     std::function<void(Poco::Net::HTTPRequest &request, const upstream_fields &call)>
-        addressUpstream;
+        setUpstreamFields;
     // Classifies the head of a response to the request with this ID.
     std::function<response_kind(const Poco::Net::HTTPResponse &head, const std::string &requestId)>
         classifyResponse;
--- a/src/persimmonrail/proxy/peer_client.cpp
+++ b/src/persimmonrail/proxy/peer_client.cpp
@@ -40,7 +40,7 @@
 probe_result probePeer(const std::string &address, const std::string &requestId)
 {
     connection_pool_options options;
-    options.connectTime = probeTimeout;
+    options.connectTimeout = probeTimeout;
     http_client client(std::make_shared<connection_pool>(options));
     const auto response = simpleRequest(client, address, "GET", proxyInFlightPath + requestId, "",
                                         std::chrono::steady_clock::now() + probeTimeout);
@@ -58,7 +58,7 @@
 void setForwardingFields(Poco::Net::HTTPRequest &message, const proxied_request &request,
                          steady_time now)
 {
-    removeOwnFields(message);
+    removePersimmonrailFields(message);
     message.set(requestIdHeader, request.requestId);
     message.set(serviceHeader, request.service);
     message.set(upstreamHeader, request.upstream.name);
@@ -118,7 +118,7 @@
     if (call.body != nullptr) {
         const body_framing framing = call.body->framing();
         call.expectContinue =
-            framing.type == body_framing::kind::Chunked || framing.length > bodyPieceBytes;
+            framing.type == body_framing::kind::Chunked || framing.length > maxBodyPieceBytes;
     }
     call.repeatable = request.repeatable;
     call.deadline = request.deadline;
@@ -141,9 +141,9 @@
     proxy_result result;
     result.responseStarted = exchanged.responseStarted;
     result.callerDisconnected =
-        exchanged.sinkGone || exchanged.state == exchange_state::CallerDisconnected;
-    result.outcome = exchanged.anySent ? request_outcome::Unknown : request_outcome::NotRun;
-    result.hasReachedUpstream = exchanged.anySent;
+        exchanged.receiverDisconnected || exchanged.state == exchange_state::CallerDisconnected;
+    result.outcome = exchanged.hasSentBytes ? request_outcome::Unknown : request_outcome::NotRun;
+    result.hasReachedUpstream = exchanged.hasSentBytes;
     result.queue = parseQueueReport(exchanged.head.get(queueHeader, ""));
     switch (exchanged.state) {
     case exchange_state::Complete:
@@ -160,14 +160,14 @@
     case exchange_state::TimedOut:
         result.reason = proxy_reason::DeadlineExceeded;
         break;
-    case exchange_state::Silent:
+    case exchange_state::Unresponsive:
         result.reason = proxy_reason::SilentConnection;
         break;
     case exchange_state::Truncated:
         result.reason = proxy_reason::BrokenResponse;
         break;
     case exchange_state::CallerDisconnected:
-    case exchange_state::BadRequestBody:
+    case exchange_state::MalformedRequestBody:
         result.reason = proxy_reason::CallerDisconnected;
         break;
     default:
@@ -209,7 +209,7 @@
         }
         request.key = key;
     }
-    removeOwnFields(request.message);
+    removePersimmonrailFields(request.message);
     removeConnectionFields(request.message);
     return request;
 }
@@ -263,7 +263,7 @@
     if (m_permit != nullptr && m_permit->hasExpired(now)) {
         m_permit.reset();
     }
-    return sendAt - now < minPacingDelay || !m_exchange.connection().waitClosed(sendAt);
+    return sendAt - now < minPacingDelay || !m_exchange.connection().waitUntilClosed(sendAt);
 }
 
 bool proxy_sink::send(std::string_view bytes)
@@ -282,7 +282,7 @@
                        std::string_view first, bool isComplete)
 {
     Poco::Net::HTTPResponse response(head);
-    removeOwnFields(response);
+    removePersimmonrailFields(response);
     removeConnectionFields(response);
     if (m_decorate) {
         m_decorate(response);
--- a/src/persimmonrail/proxy/peer_client.h
+++ b/src/persimmonrail/proxy/peer_client.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "persimmonrail/gateway/silent_peers.h"
+#include "persimmonrail/gateway/unresponsive_peers.h"
 #include "persimmonrail/http/http_server.h"
 #include "persimmonrail/proxy/large_response_queue.h"
 #include "persimmonrail/proxy/link_pacer.h"
@@ -38,7 +38,7 @@
 private:
     std::shared_ptr<connection_pool> m_pool;
     http_client m_client;
-    silent_peers m_unresponsivePeers;
+    unresponsive_peers m_unresponsivePeers;
 };
 
 // Decodes a request that forward() has sent, and removes the fields that forward() has set. Times
--- a/src/persimmonrail/proxy/request_proxy.cpp
+++ b/src/persimmonrail/proxy/request_proxy.cpp
@@ -75,12 +75,12 @@
     // request.
     proxy_result resolveRoute()
     {
-        const caller_fields fields = m_proxy.m_codec.readCall(m_exchange.request());
+        const caller_fields fields = m_proxy.m_codec.readCallerFields(m_exchange.request());
         m_request.requestId = fields.requestId;
         m_request.callerService = m_proxy.m_options.callerService;
         m_request.message = m_exchange.request();
         removeConnectionFields(m_request.message);
-        removeOwnFields(m_request.message);
+        removePersimmonrailFields(m_request.message);
         m_table = m_proxy.m_hooks.routes();
         if (m_table == nullptr) {
             return notRunResult(proxy_reason::NoDesiredState, milliseconds(500));
@@ -122,7 +122,7 @@
         for (;;) {
             const steady_time now = clockNow();
             // The disconnection of the caller is detected even while the request body is unread.
-            if (m_exchange.connection().waitClosed(now)) {
+            if (m_exchange.connection().waitUntilClosed(now)) {
                 return callerDisconnected(result);
             }
             if (sentAttempts > 0 && !service.retries.tryRetry(now)) {
@@ -147,8 +147,8 @@
             }
             if (m_request.key) {
                 if (clockNow() + m_proxy.m_options.ownerRetryDelay >= ownerDeadline
-                    || m_exchange.connection().waitClosed(clockNow()
-                                                          + m_proxy.m_options.ownerRetryDelay)) {
+                    || m_exchange.connection().waitUntilClosed(
+                        clockNow() + m_proxy.m_options.ownerRetryDelay)) {
                     return result;
                 }
             } else if (attempted.reason == proxy_reason::NoUpstream) {
@@ -283,7 +283,7 @@
         const owned_range &range = versionedPlacement->placement.rangeOf(*m_request.key);
         const auto *versionedMember = directory.findMember(range.owner.name);
         if (versionedMember == nullptr || versionedMember->member.id != range.owner
-            || range.takeOverAfter.count() > 0) {
+            || range.takeoverDelay.count() > 0) {
             return nullptr;
         }
         service.picker.begin(range.owner);
--- a/src/persimmonrail/proxy/request_proxy.h
+++ b/src/persimmonrail/proxy/request_proxy.h
@@ -2,7 +2,7 @@
 
 #include "persimmonrail/base/random_source.h"
 #include "persimmonrail/fleet/fleet_directory.h"
-#include "persimmonrail/gateway/silent_peers.h"
+#include "persimmonrail/gateway/unresponsive_peers.h"
 #include "persimmonrail/http/http_server.h"
 #include "persimmonrail/proxy/overload_throttle.h"
 #include "persimmonrail/proxy/peer_client.h"
--- a/src/persimmonrail/proxy/tests/request_proxy_test.cpp
+++ b/src/persimmonrail/proxy/tests/request_proxy_test.cpp
@@ -39,13 +39,13 @@
             exchange.respond(head, "whole");
         }));
         exchange_codec codec;
-        codec.readCall = [](const Poco::Net::HTTPRequest &) {
+        codec.readCallerFields = [](const Poco::Net::HTTPRequest &) {
             caller_fields fields;
             fields.requestId = "r1";
             return fields;
         };
         upstream_dispatcher_hooks dispatcherHooks;
-        dispatcherHooks.local = [] { return local_target(); };
+        dispatcherHooks.local = [] { return local_upstream_state(); };
         dispatcher = std::make_unique<upstream_dispatcher>(codec, dispatcherHooks);
         request_proxy_hooks hooks;
         hooks.routes = [] {
@@ -59,7 +59,7 @@
                 const std::string name = "i-" + std::to_string(i);
                 const upstream_member member{{name, 1}, "ledger", "z",  peer->address(),
                                              9,         false,    false};
-                builder.applyOne({memberKey(name), 1, false, encodeMember(member)});
+                builder.applyObject({memberKey(name), 1, false, encodeMember(member)});
             }
             return builder.build();
         };
@@ -76,7 +76,7 @@
     {
         callers = std::move(*http_server::listen({}, [&](server_exchange &exchange) {
             if (isClosedFirst) {
-                exchange.connection().waitClosed(std::chrono::steady_clock::now() + 20s);
+                exchange.connection().waitUntilClosed(std::chrono::steady_clock::now() + 20s);
             }
             proxy->serveCaller(exchange);
             served.set_value();
--- a/src/persimmonrail/proxy/upstream_dispatcher.cpp
+++ b/src/persimmonrail/proxy/upstream_dispatcher.cpp
@@ -27,12 +27,12 @@
     switch (state) {
     case exchange_state::TimedOut:
         return proxy_reason::DeadlineExceeded;
-    case exchange_state::Silent:
+    case exchange_state::Unresponsive:
         return proxy_reason::SilentConnection;
     case exchange_state::Truncated:
         return proxy_reason::BrokenResponse;
     case exchange_state::CallerDisconnected:
-    case exchange_state::BadRequestBody:
+    case exchange_state::MalformedRequestBody:
         return proxy_reason::CallerDisconnected;
     default:
         return proxy_reason::NoResponse;
@@ -50,16 +50,16 @@
 { }
 
 proxy_reason upstream_dispatcher::rejectionReason(const proxied_request &request,
-                                                  const local_target &target) const
+                                                  const local_upstream_state &target) const
 {
     if (target.id != request.upstream || target.service != request.service) {
         return proxy_reason::OtherUpstream;
     }
-    const proxy_reason closed = request.key ? target.closedForKeys : target.closed;
-    if (closed != proxy_reason::None) {
-        return closed;
+    const proxy_reason rejectReason = request.key ? target.keyedRejectReason : target.rejectReason;
+    if (rejectReason != proxy_reason::None) {
+        return rejectReason;
     }
-    if (request.key && !m_hooks.mayServe(*request.key)) {
+    if (request.key && !m_hooks.canServe(*request.key)) {
         return proxy_reason::NotOwner;
     }
     return proxy_reason::None;
@@ -73,7 +73,7 @@
         return notRunResult(reason);
     }
     if (request.key) {
-        m_hooks.countKey(*request.key);
+        m_hooks.countKeyRequest(*request.key);
     }
     const steady_time arrived = std::chrono::steady_clock::now();
     const steady_time expectedEnd = arrived + m_slotQueue.report().meanServiceTime
@@ -92,17 +92,17 @@
     }
     releasing_sink releasing(std::move(std::get<std::unique_ptr<slot_permit>>(acquired)), sink);
     // The state of the upstream or the owner of the key may have changed while the request waited.
-    const local_target target = m_hooks.local();
+    const local_upstream_state target = m_hooks.local();
     const proxy_reason reason = rejectionReason(request, target);
     return reason == proxy_reason::None ? sendToUpstream(request, target, exchange, releasing)
                                         : notRunResult(reason);
 }
 
 proxy_result upstream_dispatcher::sendToUpstream(const proxied_request &request,
-                                                 const local_target &target,
+                                                 const local_upstream_state &target,
                                                  server_exchange &exchange, response_sink &sink)
 {
-    if (exchange.connection().waitClosed(std::chrono::steady_clock::now())) {
+    if (exchange.connection().waitUntilClosed(std::chrono::steady_clock::now())) {
         proxy_result disconnected = notRunResult(proxy_reason::CallerDisconnected);
         disconnected.callerDisconnected = true;
         return disconnected;
@@ -114,7 +114,7 @@
     client_request call;
     call.address = target.address;
     call.message = request.message;
-    m_codec.addressUpstream(call.message, {target.id.name, left, request.callerService});
+    m_codec.setUpstreamFields(call.message, {target.id.name, left, request.callerService});
     call.body = exchange.framing().type == body_framing::kind::None ? nullptr : &exchange;
     call.repeatable = request.repeatable;
     call.deadline = request.deadline;
@@ -122,7 +122,7 @@
     call.acceptsUnframed = true;
     response_kind kind = response_kind::Genuine;
     call.matchesRequest = [&](const Poco::Net::HTTPResponse &head) {
-        return m_codec.classifyResponse(head, request.requestId) != response_kind::Foreign;
+        return m_codec.classifyResponse(head, request.requestId) != response_kind::Mismatched;
     };
     call.acceptsResponse = [&](const Poco::Net::HTTPResponse &head) {
         kind = m_codec.classifyResponse(head, request.requestId);
@@ -130,11 +130,11 @@
     };
     const exchange_result exchanged = m_client.exchange(call, sink);
     proxy_result result;
-    result.hasReachedUpstream = exchanged.anySent;
+    result.hasReachedUpstream = exchanged.hasSentBytes;
     result.responseStarted = exchanged.responseStarted;
     result.callerDisconnected =
-        exchanged.sinkGone || exchanged.state == exchange_state::CallerDisconnected;
-    result.outcome = exchanged.anySent ? request_outcome::Unknown : request_outcome::NotRun;
+        exchanged.receiverDisconnected || exchanged.state == exchange_state::CallerDisconnected;
+    result.outcome = exchanged.hasSentBytes ? request_outcome::Unknown : request_outcome::NotRun;
     switch (exchanged.state) {
     case exchange_state::Complete:
         result.outcome = request_outcome::Run;
@@ -143,7 +143,7 @@
         break;
     case exchange_state::Declined:
         m_hooks.onResponse(target.id);
-        if (kind == response_kind::NotRun || kind == response_kind::WrongTarget) {
+        if (kind == response_kind::NotRun || kind == response_kind::WrongUpstream) {
             result.outcome = request_outcome::NotRun;
             result.reason = kind == response_kind::NotRun ? proxy_reason::UpstreamRefused
                                                           : proxy_reason::KeyNotHeld;
@@ -155,7 +155,7 @@
         result.reason = exchanged.deadlinePassed ? proxy_reason::DeadlineBeforeSend
                                                  : proxy_reason::UpstreamUnreachable;
         if (exchanged.connectionRefused) {
-            m_hooks.onRefusedConnection(target.id);
+            m_hooks.onConnectionRefused(target.id);
         }
         break;
     default:
--- a/src/persimmonrail/proxy/upstream_dispatcher.h
+++ b/src/persimmonrail/proxy/upstream_dispatcher.h
@@ -12,30 +12,30 @@
 namespace persimmonrail {
 
 // The state of the local upstream that decides whether it can take a request.
-struct local_target
+struct local_upstream_state
 {
     upstream_id id;
     std::string service;
     // "ip:port".
     std::string address;
     // Reason for which the upstream takes no requests; None if it takes them.
-    proxy_reason closed = proxy_reason::None;
+    proxy_reason rejectReason = proxy_reason::None;
     // The same for requests with a key that the upstream still owns. Such requests are served until
     // the key has moved, as long as the platform lets a draining upstream work.
-    proxy_reason closedForKeys = proxy_reason::None;
+    proxy_reason keyedRejectReason = proxy_reason::None;
 };
 
 // Access to the state of the daemon. All functions must be thread safe and must not block.
 struct upstream_dispatcher_hooks
 {
     // Returns the current state of the local upstream.
-    std::function<local_target()> local;
+    std::function<local_upstream_state()> local;
     // Returns whether the upstream owns the key now.
-    std::function<bool(shard_key key)> mayServe;
+    std::function<bool(shard_key key)> canServe;
     // Counts a request for the key, for the balancing of key ranges.
-    std::function<void(shard_key key)> countKey;
+    std::function<void(shard_key key)> countKeyRequest;
     // Called when a connection is refused, which means that no process listens at the address.
-    std::function<void(const upstream_id &id)> onRefusedConnection;
+    std::function<void(const upstream_id &id)> onConnectionRefused;
     // Called when the upstream has responded.
     std::function<void(const upstream_id &id)> onResponse;
 };
@@ -57,15 +57,16 @@
     // Sets the number of requests that the upstream may run at the same time.
     void setSlots(int slots) { m_slotQueue.setSlots(slots); }
     // Returns the state of the upstream that takes requests now.
-    local_target local() const { return m_hooks.local(); }
+    local_upstream_state local() const { return m_hooks.local(); }
     // Closes idle connections to an address, since another process may listen there.
-    void dropConnections(const std::string &address) { m_pool->closeIdle(address); }
+    void closeIdleConnections(const std::string &address) { m_pool->closeIdle(address); }
 
 private:
     // Returns why the request can't be dispatched now; None if it can.
-    proxy_reason rejectionReason(const proxied_request &request, const local_target &target) const;
+    proxy_reason rejectionReason(const proxied_request &request,
+                                 const local_upstream_state &target) const;
     // Sends a request that has a slot.
-    proxy_result sendToUpstream(const proxied_request &request, const local_target &target,
+    proxy_result sendToUpstream(const proxied_request &request, const local_upstream_state &target,
                                 server_exchange &exchange, response_sink &sink);
 
     const exchange_codec m_codec;
--- a/src/persimmonrail/requests/at_most_once_table.cpp
+++ b/src/persimmonrail/requests/at_most_once_table.cpp
@@ -9,7 +9,7 @@
 at_most_once_verdict makeRejection(request_outcome outcome, std::string_view reason)
 {
     at_most_once_verdict verdict;
-    verdict.what = at_most_once_verdict::action::Refuse;
+    verdict.decision = at_most_once_verdict::action::Reject;
     verdict.outcome = outcome;
     verdict.reason = reason;
     return verdict;
@@ -81,7 +81,7 @@
         return makeRejection(request_outcome::Unknown, "answer-not-kept");
     }
     at_most_once_verdict verdict;
-    verdict.what = at_most_once_verdict::action::Replay;
+    verdict.decision = at_most_once_verdict::action::Replay;
     verdict.outcome = request_outcome::Run;
     verdict.response = existing.response;
     return verdict;
--- a/src/persimmonrail/requests/at_most_once_table.h
+++ b/src/persimmonrail/requests/at_most_once_table.h
@@ -47,9 +47,9 @@
         // The request has run before; `response` is its stored response.
         Replay,
         // The request must not be dispatched. `outcome` and `reason` are sent to the caller.
-        Refuse,
+        Reject,
     };
-    action what = action::Proceed;
+    action decision = action::Proceed;
     std::shared_ptr<const stored_response> response;
     request_outcome outcome = request_outcome::Unknown;
     std::string reason;
--- a/src/persimmonrail/requests/crash_quarantine.cpp
+++ b/src/persimmonrail/requests/crash_quarantine.cpp
@@ -62,8 +62,8 @@
         && isUnexpired(record, now);
 }
 
-std::optional<milliseconds> crash_quarantine::refusedFor(uint64_t fingerprint,
-                                                         steady_time now) const
+std::optional<milliseconds> crash_quarantine::remainingRejectionTime(uint64_t fingerprint,
+                                                                     steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_strikeRecords.find(fingerprint);
@@ -73,7 +73,7 @@
     return std::chrono::ceil<milliseconds>(it->second.lastStrike + m_options.entryLifetime - now);
 }
 
-bool crash_quarantine::refusesAny(steady_time now) const
+bool crash_quarantine::rejectsAny(steady_time now) const
 {
     const std::lock_guard lock(m_mutex);
     return std::any_of(m_strikeRecords.begin(), m_strikeRecords.end(),
@@ -114,7 +114,7 @@
     }
 }
 
-void crash_quarantine::noteCrash(steady_time now)
+void crash_quarantine::recordCrash(steady_time now)
 {
     const std::lock_guard lock(m_mutex);
     m_lostRequests.remove_if([&](const lost_request &lost) {
--- a/src/persimmonrail/requests/crash_quarantine.h
+++ b/src/persimmonrail/requests/crash_quarantine.h
@@ -95,10 +95,10 @@
 
     // Returns the time for which requests with this fingerprint are still rejected, or std::nullopt
     // if they are accepted.
-    std::optional<milliseconds> refusedFor(uint64_t fingerprint, steady_time now) const;
+    std::optional<milliseconds> remainingRejectionTime(uint64_t fingerprint, steady_time now) const;
     // Returns whether any fingerprint is rejected. If no fingerprint is rejected, a request
     // can be dispatched before its body has arrived.
-    bool refusesAny(steady_time now) const;
+    bool rejectsAny(steady_time now) const;
 
     // Records the dispatch of a request; end() must follow.
     run_id begin();
@@ -109,7 +109,7 @@
     // announcement has expired. Requests that lost their connections within the last
     // connectionLossWindow are suspects. Requests that still run become suspects if they lose their
     // connections within connectionLossWindow from now.
-    void noteCrash(steady_time now);
+    void recordCrash(steady_time now);
 
     // Returns at most `limit` entries to send to another daemon, those with the most strikes first.
     std::vector<entry> entries(size_t limit, steady_time now) const;
--- a/src/persimmonrail/requests/tests/at_most_once_table_test.cpp
+++ b/src/persimmonrail/requests/tests/at_most_once_table_test.cpp
@@ -66,8 +66,8 @@
 {
     at_most_once_table table;
     const auto key = keyIssuedAt(start);
-    REQUIRE(table.begin("orderbook", key, earlyTenureStart, start).what == action::Proceed);
-    CHECK(table.begin("orderbook", key, earlyTenureStart, start).what == action::Refuse);
+    REQUIRE(table.begin("orderbook", key, earlyTenureStart, start).decision == action::Proceed);
+    CHECK(table.begin("orderbook", key, earlyTenureStart, start).decision == action::Reject);
 
     struct
     {
@@ -76,21 +76,21 @@
         action expected;
     } const rows[] = {
         {request_outcome::Run, true, action::Replay},
-        {request_outcome::Run, false, action::Refuse},
-        {request_outcome::Unknown, false, action::Refuse},
+        {request_outcome::Run, false, action::Reject},
+        {request_outcome::Unknown, false, action::Reject},
         {request_outcome::NotRun, false, action::Proceed},
     };
     uint8_t number = 10;
     for (const auto &row : rows) {
         CAPTURE(toString(row.outcome), row.storesResponse);
         const auto repeatedKey = keyIssuedAt(start, number++);
-        REQUIRE(table.begin("orderbook", repeatedKey, earlyTenureStart, start).what
+        REQUIRE(table.begin("orderbook", repeatedKey, earlyTenureStart, start).decision
                 == action::Proceed);
         table.end("orderbook", repeatedKey, row.outcome,
                   row.storesResponse ? responseOf(10) : nullptr);
         const auto verdict = table.begin("orderbook", repeatedKey, earlyTenureStart, start);
-        CHECK(verdict.what == row.expected);
-        CHECK((verdict.what != action::Refuse || verdict.outcome == request_outcome::Unknown));
+        CHECK(verdict.decision == row.expected);
+        CHECK((verdict.decision != action::Reject || verdict.outcome == request_outcome::Unknown));
     }
 }
 
@@ -106,11 +106,11 @@
         action expected;
     } const table[] = {
         {"issued long after the tenure began", seconds(0), seconds(-60), action::Proceed},
-        {"issued before the tenure began", seconds(-61), seconds(-60), action::Refuse},
+        {"issued before the tenure began", seconds(-61), seconds(-60), action::Reject},
         {"issued within the clock skew after the tenure began", seconds(-56), seconds(-60),
-         action::Refuse},
-        {"older than the retention", seconds(-601), seconds(-3600), action::Refuse},
-        {"issued in the future", seconds(6), seconds(-3600), action::Refuse},
+         action::Reject},
+        {"older than the retention", seconds(-601), seconds(-3600), action::Reject},
+        {"issued in the future", seconds(6), seconds(-3600), action::Reject},
         {"caller's clock slightly ahead", seconds(4), seconds(-3600), action::Proceed},
     };
     for (const auto &row : table) {
@@ -118,8 +118,8 @@
         at_most_once_table emptyTable;
         const auto verdict =
             emptyTable.begin("s", keyIssuedAt(start + row.issued), start + row.tenureStart, start);
-        CHECK(verdict.what == row.expected);
-        CHECK((verdict.what == action::Proceed || verdict.outcome == request_outcome::Unknown));
+        CHECK(verdict.decision == row.expected);
+        CHECK((verdict.decision == action::Proceed || verdict.outcome == request_outcome::Unknown));
     }
 }
 
@@ -131,17 +131,17 @@
     options.maxEntries = 2;
     at_most_once_table table(options);
     const auto key = keyIssuedAt(start);
-    REQUIRE(table.begin("s", key, earlyTenureStart, start).what == action::Proceed);
+    REQUIRE(table.begin("s", key, earlyTenureStart, start).decision == action::Proceed);
     table.end("s", key, request_outcome::Run, nullptr);
-    REQUIRE(table.begin("s", keyIssuedAt(start, 2), earlyTenureStart, start).what
+    REQUIRE(table.begin("s", keyIssuedAt(start, 2), earlyTenureStart, start).decision
             == action::Proceed);
     const auto fullTableVerdict = table.begin("s", keyIssuedAt(start, 3), earlyTenureStart, start);
-    CHECK(fullTableVerdict.what == action::Refuse);
+    CHECK(fullTableVerdict.decision == action::Reject);
     CHECK(fullTableVerdict.outcome == request_outcome::NotRun);
     for (int elapsedSeconds = 0; elapsedSeconds < 2000; elapsedSeconds += 10) {
         CAPTURE(elapsedSeconds);
-        CHECK(table.begin("s", key, earlyTenureStart, start + seconds(elapsedSeconds)).what
-              == action::Refuse);
+        CHECK(table.begin("s", key, earlyTenureStart, start + seconds(elapsedSeconds)).decision
+              == action::Reject);
     }
     CHECK(table.size() == 0);
 }
@@ -154,10 +154,12 @@
     at_most_once_table table(options);
     for (uint8_t number = 1; number <= 20; ++number) {
         const auto key = keyIssuedAt(start, number);
-        REQUIRE(table.begin("s", key, earlyTenureStart, start).what == action::Proceed);
+        REQUIRE(table.begin("s", key, earlyTenureStart, start).decision == action::Proceed);
         table.end("s", key, request_outcome::Run, responseOf(1000));
         CHECK(table.responseBytes() <= options.maxResponseBytes);
     }
-    CHECK(table.begin("s", keyIssuedAt(start, 1), earlyTenureStart, start).what == action::Refuse);
-    CHECK(table.begin("s", keyIssuedAt(start, 20), earlyTenureStart, start).what == action::Replay);
+    CHECK(table.begin("s", keyIssuedAt(start, 1), earlyTenureStart, start).decision
+          == action::Reject);
+    CHECK(table.begin("s", keyIssuedAt(start, 20), earlyTenureStart, start).decision
+          == action::Replay);
 }
--- a/src/persimmonrail/requests/tests/crash_quarantine_test.cpp
+++ b/src/persimmonrail/requests/tests/crash_quarantine_test.cpp
@@ -24,7 +24,7 @@
     for (size_t i = 0; i < running.size(); ++i) {
         quarantine.end(runs[i], running[i], run_end::ConnectionLost, now);
     }
-    quarantine.noteCrash(now + delay);
+    quarantine.recordCrash(now + delay);
 }
 
 } // namespace
@@ -47,11 +47,11 @@
         for (int i = 1; i <= 10 && rejectedAfter == 0; ++i) {
             const steady_time now = start + seconds(10 * i);
             crash(quarantine, row.running, now);
-            rejectedAfter = quarantine.refusedFor(1, now + seconds(1)) ? i : 0;
+            rejectedAfter = quarantine.remainingRejectionTime(1, now + seconds(1)) ? i : 0;
         }
         CHECK(rejectedAfter == row.crashesUntilRejected);
-        CHECK(quarantine.refusesAny(start + seconds(100)) == (row.crashesUntilRejected > 0));
-        CHECK_FALSE(quarantine.refusedFor(77, start + seconds(100)));
+        CHECK(quarantine.rejectsAny(start + seconds(100)) == (row.crashesUntilRejected > 0));
+        CHECK_FALSE(quarantine.remainingRejectionTime(77, start + seconds(100)));
     }
 }
 
@@ -64,7 +64,7 @@
     {
         for (int i = 0; i < 3; ++i) {
             quarantine.end(quarantine.begin(), 1, run_end::Regular, start);
-            quarantine.noteCrash(start);
+            quarantine.recordCrash(start);
         }
     }
     SECTION("lost long before the crash")
@@ -83,7 +83,7 @@
     {
         for (int i = 0; i < 3; ++i) {
             const auto run = quarantine.begin();
-            quarantine.noteCrash(start);
+            quarantine.recordCrash(start);
             quarantine.end(run, 1, run_end::Regular, start);
         }
     }
@@ -91,15 +91,15 @@
     {
         for (int i = 0; i < 3; ++i) {
             quarantine.end(quarantine.begin(), std::nullopt, run_end::ConnectionLost, start);
-            quarantine.noteCrash(start);
+            quarantine.recordCrash(start);
         }
     }
     SECTION("a crash counts once")
     {
         crash(quarantine, {1}, start);
-        quarantine.noteCrash(start + seconds(2));
+        quarantine.recordCrash(start + seconds(2));
     }
-    CHECK_FALSE(quarantine.refusesAny(start + seconds(50)));
+    CHECK_FALSE(quarantine.rejectsAny(start + seconds(50)));
 }
 
 // Guards against a missing strike if the crash is detected before the connection is lost.
@@ -108,10 +108,10 @@
     crash_quarantine quarantine;
     for (int i = 0; i < 2; ++i) {
         const auto run = quarantine.begin();
-        quarantine.noteCrash(start);
+        quarantine.recordCrash(start);
         quarantine.end(run, 1, run_end::ConnectionLost, start + milliseconds(500));
     }
-    CHECK(quarantine.refusedFor(1, start + seconds(1)));
+    CHECK(quarantine.remainingRejectionTime(1, start + seconds(1)));
 }
 
 // Guards against entries that never expire, and against unbounded memory.
@@ -127,12 +127,12 @@
         crash(quarantine, {other}, start + seconds(10), milliseconds(0));
         CHECK(quarantine.size() <= 3);
     }
-    CHECK(quarantine.refusedFor(1, start + seconds(10)) == seconds(600));
-    CHECK(quarantine.refusedFor(1, start + seconds(609)) == seconds(1));
-    CHECK_FALSE(quarantine.refusedFor(1, start + seconds(610)));
+    CHECK(quarantine.remainingRejectionTime(1, start + seconds(10)) == seconds(600));
+    CHECK(quarantine.remainingRejectionTime(1, start + seconds(609)) == seconds(1));
+    CHECK_FALSE(quarantine.remainingRejectionTime(1, start + seconds(610)));
     // The strikes of an expired entry are not added to the next strike.
     crash(quarantine, {1}, start + seconds(700), milliseconds(0));
-    CHECK_FALSE(quarantine.refusedFor(1, start + seconds(700)));
+    CHECK_FALSE(quarantine.remainingRejectionTime(1, start + seconds(700)));
 }
 
 // Guards against entries that lose strikes or never expire because daemons exchange them, and
@@ -144,13 +144,13 @@
     crash(first, {1}, start, milliseconds(0));
     crash(second, {1}, start, milliseconds(0));
     second.merge(first.entries(64, start), start);
-    CHECK_FALSE(second.refusedFor(1, start));
+    CHECK_FALSE(second.remainingRejectionTime(1, start));
     crash(first, {1}, start + seconds(5), milliseconds(0));
     second.merge(first.entries(64, start + seconds(6)), start + seconds(6));
-    CHECK(second.refusedFor(1, start + seconds(6)) == seconds(599));
+    CHECK(second.remainingRejectionTime(1, start + seconds(6)) == seconds(599));
     // The same entry, received later, does not change the record.
     first.merge(first.entries(64, start + seconds(6)), start + seconds(8));
-    CHECK(first.refusedFor(1, start + seconds(8)) == seconds(597));
+    CHECK(first.remainingRejectionTime(1, start + seconds(8)) == seconds(597));
     CHECK(first.entries(64, start + seconds(546)).empty());
     first.merge({{2, 24, seconds(545)}, {3, 24, milliseconds(-1)}}, start);
     CHECK(first.size() == 1);
--- a/src/persimmonrail/router/range_controller.cpp
+++ b/src/persimmonrail/router/range_controller.cpp
@@ -45,7 +45,7 @@
     , m_grantWorker(std::make_unique<background_worker>())
     , m_storeWorker(std::make_unique<background_worker>())
 {
-    m_leaseManager.noteStart(bootNow());
+    m_leaseManager.recordDaemonStart(bootNow());
 }
 
 range_controller::~range_controller() = default;
@@ -106,10 +106,10 @@
     m_utilization += (utilization - m_utilization) * utilizationSmoothingWeight;
 }
 
-bool range_controller::mayServe(shard_key key) const
+bool range_controller::canServe(shard_key key) const
 {
     const std::lock_guard lock(m_mutex);
-    return m_leaseManager.mayServe(key, bootNow());
+    return m_leaseManager.canServe(key, bootNow());
 }
 
 bool range_controller::isTerminated(const upstream_id &id) const
@@ -137,7 +137,7 @@
     const auto *record = m_directory->findPlacement(m_service);
     if (record != nullptr && m_upstream) {
         for (const owned_range &range : record->placement.ranges) {
-            if (range.owner == *m_upstream && range.takeOverAfter.count() == 0) {
+            if (range.owner == *m_upstream && range.takeoverDelay.count() == 0) {
                 own.push_back(range.keys);
             }
         }
@@ -188,7 +188,7 @@
         const boot_time sentAt = bootNow();
         {
             const std::lock_guard lock(m_mutex);
-            if (!m_leaseManager.maySend(grant, sentAt)) {
+            if (!m_leaseManager.canSend(grant, sentAt)) {
                 return;
             }
         }
@@ -198,7 +198,7 @@
             if (status.ok()) {
                 m_leaseManager.onGranted(grant, sentAt);
             } else if (absl::IsAborted(status)) {
-                m_leaseManager.onGrantRefused(grant);
+                m_leaseManager.onGrantRejected(grant);
             } else if (!absl::IsUnavailable(status) && !absl::IsFailedPrecondition(status)) {
                 m_leaseManager.onGrantUnconfirmed(grant, holdTime, sentAt);
             }
@@ -221,7 +221,7 @@
     milliseconds holdTime{0};
     {
         const std::lock_guard lock(m_mutex);
-        held = m_leaseManager.heldWithin({});
+        held = m_leaseManager.grantsWithin({});
         holdTime = std::min(maxHold, m_leaseManager.maxSafeHold(bootNow()));
     }
     if (holdTime < m_timing.holdTime) {
@@ -384,7 +384,7 @@
             return std::find(m_peers.unreachable.begin(), m_peers.unreachable.end(), id)
                 != m_peers.unreachable.end();
         },
-        m_peers.live, m_timing.takeOverAfter());
+        m_peers.live, m_timing.takeoverDelay());
     if (withoutUnreachable != current) {
         propose(withoutUnreachable, "owner-unreachable");
     }
--- a/src/persimmonrail/router/range_controller.h
+++ b/src/persimmonrail/router/range_controller.h
@@ -23,8 +23,8 @@
 boot_time bootNow();
 
 // Controls the key ranges of the local upstream: grants, renewals, releases and changes of the
-// recorded owners. All functions must be called on the control thread, except for mayServe() and
-// countKey(), which are thread safe. Blocking calls run on workers.
+// recorded owners. All functions must be called on the control thread, except for canServe() and
+// countKeyRequest(), which are thread safe. Blocking calls run on workers.
 class range_controller
 {
 public:
@@ -63,9 +63,9 @@
     void tick(steady_time now);
 
     // Whether the local upstream may serve requests for this key now.
-    bool mayServe(shard_key key) const;
+    bool canServe(shard_key key) const;
     // Counts one request for this key, for the rates from which moves are chosen.
-    void countKey(shard_key key) { m_rates.count(key); }
+    void countKeyRequest(shard_key key) { m_rates.count(key); }
     bool isIdle() const { return !m_isMoving; }
     // Whether no key is recorded for the upstream.
     bool ownsNoKeys() const;
@@ -106,7 +106,7 @@
     control_loop &m_loop;
     decision_log &m_log;
     const hooks m_hooks;
-    // Guards m_leaseManager, which traffic threads read through mayServe().
+    // Guards m_leaseManager, which traffic threads read through canServe().
     mutable std::mutex m_mutex;
     range_lease_manager m_leaseManager;
     key_rates m_rates;
--- a/src/persimmonrail/router/range_controller_moves.cpp
+++ b/src/persimmonrail/router/range_controller_moves.cpp
@@ -63,7 +63,7 @@
         }
         return;
     }
-    const auto share = chooseShareForNewcomer(record->placement, *m_upstream, m_peers.live);
+    const auto share = chooseMoveToEmptyOwner(record->placement, *m_upstream, m_peers.live);
     if (share) {
         startMove({*share}, "newcomer");
         return;
@@ -119,7 +119,7 @@
         const std::lock_guard lock(m_mutex);
         m_leaseManager.setMoving(intervals);
         for (const planned_move &move : moves) {
-            for (const range_grant &grant : m_leaseManager.heldWithin(move.keys)) {
+            for (const range_grant &grant : m_leaseManager.grantsWithin(move.keys)) {
                 requests.push_back({grant, move.target});
             }
         }
--- a/src/persimmonrail/router/router.h
+++ b/src/persimmonrail/router/router.h
@@ -48,7 +48,7 @@
     std::string desiredStatePrefix;
     std::string desiredStateKey;
     // Bounds the wait of one watch of the store. The destruction of a router may take as long.
-    milliseconds watchWait{20000};
+    milliseconds maxWatchWait{20000};
     // Errors: InvalidArgument.
     std::function<absl::StatusOr<std::shared_ptr<const route_table>>(std::string_view value)>
         parseDesiredState;
--- a/src/persimmonrail/router/router_state.cpp
+++ b/src/persimmonrail/router/router_state.cpp
@@ -181,7 +181,7 @@
         if (!isListed) {
             return;
         }
-        publishEarlierIncarnations(*directory);
+        publishEndedMembers(*directory);
         m_publisher->tick(*directory, now);
         const service_rule *rule =
             routes != nullptr ? routes->findService(m_settings.service) : nullptr;
@@ -196,13 +196,13 @@
 upstream_dispatcher_hooks router::state::makeDispatcherHooks()
 {
     upstream_dispatcher_hooks hooks;
-    hooks.local = [this] { return localTarget(); };
-    hooks.mayServe = [this](shard_key key) { return m_ranges->mayServe(key); };
-    hooks.countKey = [this](shard_key key) { m_ranges->countKey(key); };
-    hooks.onRefusedConnection = [this](const upstream_id &id) {
+    hooks.local = [this] { return localUpstreamState(); };
+    hooks.canServe = [this](shard_key key) { return m_ranges->canServe(key); };
+    hooks.countKeyRequest = [this](shard_key key) { m_ranges->countKeyRequest(key); };
+    hooks.onConnectionRefused = [this](const upstream_id &id) {
         m_loop.post([this, id](steady_time now) {
             if (m_upstream.report() && m_upstream.report()->id == id
-                && m_upstream.onRefusedConnection(now) == local_upstream::verdict::Changed) {
+                && m_upstream.onConnectionRefused(now) == local_upstream::verdict::Changed) {
                 onUpstreamChanged("connection-refused", now);
             }
         });
@@ -265,8 +265,8 @@
 
 std::string router::state::renderStatuses() const
 {
-    const local_target target = localTarget();
-    const bool acceptsRequests = target.closed == proxy_reason::None && !m_isStopping;
+    const local_upstream_state target = localUpstreamState();
+    const bool acceptsRequests = target.rejectReason == proxy_reason::None && !m_isStopping;
     std::vector<forwarded_status> others;
     {
         const std::lock_guard lock(m_mutex);
--- a/src/persimmonrail/router/router_state.h
+++ b/src/persimmonrail/router/router_state.h
@@ -56,10 +56,10 @@
     void serveReport(server_exchange &exchange);
     void onUpstreamMessage(const upstream_message &message, steady_time now);
     void onUpstreamChanged(std::string_view cause, steady_time now);
-    void publishEarlierIncarnations(const fleet_directory &directory);
+    void publishEndedMembers(const fleet_directory &directory);
     void expireUpstreamReports(steady_time now);
     upstream_member ownMember() const;
-    local_target localTarget() const;
+    local_upstream_state localUpstreamState() const;
     void pollPeers(steady_time now);
     void markUnreachable(const fleet_directory &directory,
                          const std::vector<upstream_id> &unreachable, steady_time now);
@@ -97,7 +97,7 @@
     std::shared_ptr<const route_table> m_routes;
     std::shared_ptr<const fleet_directory> m_directory;
     bool m_isDirectoryListed = false;
-    local_target m_target;
+    local_upstream_state m_target;
     // Statuses of the peers as of m_peerStatusesAt, to be forwarded to the peers.
     std::vector<forwarded_status> m_peerStatuses;
     steady_time m_peerStatusesAt{};
--- a/src/persimmonrail/router/router_state_store.cpp
+++ b/src/persimmonrail/router/router_state_store.cpp
@@ -15,7 +15,7 @@
 void router::state::startWatchers()
 {
     object_watcher_options watchOptions;
-    watchOptions.maxWatchWait = m_platform.watchWait;
+    watchOptions.maxWatchWait = m_platform.maxWatchWait;
     object_watcher::hooks desiredStateHooks;
     desiredStateHooks.onList = desiredStateHooks.onChanges =
         [this](const object_list &objects, steady_time) { onDesiredState(objects); };
@@ -83,15 +83,15 @@
 std::vector<std::string> router::state::relayAddresses() const
 {
     const std::lock_guard lock(m_mutex);
-    return relaysFor(*m_directory, m_settings.availabilityZone, m_settings.peerAddress);
+    return selectRelayAddresses(*m_directory, m_settings.availabilityZone, m_settings.peerAddress);
 }
 
 relayed_watch_hooks router::state::makeWatchHooks()
 {
     relayed_watch_hooks hooks;
     hooks.relays = [this] { return relayAddresses(); };
-    hooks.onDirectResponse = [this](steady_time now) { m_feed.confirm(now); };
-    hooks.onSource = [this](std::string_view source, const absl::Status &reason) {
+    hooks.onStoreResponse = [this](steady_time now) { m_feed.confirm(now); };
+    hooks.onSourceChanged = [this](std::string_view source, const absl::Status &reason) {
         logEvent("follow", absl::StrCat("source=", toAbsl(source), " reason=", reason.ToString()));
     };
     hooks.now = [] { return std::chrono::steady_clock::now(); };
@@ -101,8 +101,8 @@
 
 void router::state::applyObject(const stored_object &object)
 {
-    m_builder.applyOne(object);
-    m_feed.applyOne(object);
+    m_builder.applyObject(object);
+    m_feed.applyObject(object);
     publishDirectory({});
 }
 
--- a/src/persimmonrail/router/router_state_upstream.cpp
+++ b/src/persimmonrail/router/router_state_upstream.cpp
@@ -45,7 +45,7 @@
 {
     const std::optional<upstream_report> before = m_upstream.report();
     const local_upstream::verdict verdict = message.isDeparture
-        ? m_upstream.onDeparture(message.report.id, now)
+        ? m_upstream.onShutdownAnnounced(message.report.id, now)
         : m_upstream.onReport(message.report, now);
     if (verdict == local_upstream::verdict::Stale) {
         m_log.write(log_level::Info,
@@ -55,7 +55,7 @@
     }
     if (before && m_upstream.report() && before->id != m_upstream.report()->id) {
         // The earlier incarnation's process has ended; otherwise its address would still be in use.
-        m_dispatcher->dropConnections(before->address);
+        m_dispatcher->closeIdleConnections(before->address);
     }
     if (verdict == local_upstream::verdict::Changed) {
         onUpstreamChanged(message.isDeparture ? "departure" : "report", now);
@@ -87,13 +87,13 @@
     {
         const std::lock_guard lock(m_mutex);
         if (m_upstream.phase() == upstream_phase::Draining
-            && m_target.closed != proxy_reason::Draining) {
+            && m_target.rejectReason != proxy_reason::Draining) {
             m_drainEnd = now + m_settings.drainTimeout - drainMargin;
         }
         m_target.id = report.id;
         m_target.service = m_settings.service;
         m_target.address = m_settings.upstreamAddress;
-        m_target.closed = m_upstream.acceptsRequests()       ? proxy_reason::None
+        m_target.rejectReason = m_upstream.acceptsRequests() ? proxy_reason::None
             : m_upstream.phase() == upstream_phase::Draining ? proxy_reason::Draining
                                                              : proxy_reason::UpstreamUnreachable;
     }
@@ -106,13 +106,13 @@
 
 // A host has one upstream. Once another incarnation reports, the members that this daemon published
 // before its restart have ended, even if their last messages were lost.
-void router::state::publishEarlierIncarnations(const fleet_directory &directory)
+void router::state::publishEndedMembers(const fleet_directory &directory)
 {
     if (!m_upstream.report()) {
         return;
     }
     for (const upstream_member &member :
-         earlierIncarnations(directory, m_settings.peerAddress, m_upstream.report()->id)) {
+         endedMembersAt(directory, m_settings.peerAddress, m_upstream.report()->id)) {
         m_publisher->publish(member);
     }
 }
@@ -179,16 +179,16 @@
     }
 }
 
-local_target router::state::localTarget() const
+local_upstream_state router::state::localUpstreamState() const
 {
     const std::lock_guard lock(m_mutex);
-    local_target target = m_target;
-    if (m_isDispatchClosed && target.closed == proxy_reason::None) {
-        target.closed = proxy_reason::Stopping;
+    local_upstream_state target = m_target;
+    if (m_isDispatchClosed && target.rejectReason == proxy_reason::None) {
+        target.rejectReason = proxy_reason::Stopping;
     }
-    const bool isOpenForKeys = target.closed == proxy_reason::Draining && !m_isDispatchClosed
+    const bool isOpenForKeys = target.rejectReason == proxy_reason::Draining && !m_isDispatchClosed
         && std::chrono::steady_clock::now() < m_drainEnd;
-    target.closedForKeys = isOpenForKeys ? proxy_reason::None : target.closed;
+    target.keyedRejectReason = isOpenForKeys ? proxy_reason::None : target.rejectReason;
     return target;
 }
 
--- a/src/persimmonrail/sync/object_replica.cpp
+++ b/src/persimmonrail/sync/object_replica.cpp
@@ -200,7 +200,7 @@
     return m_state->objects.tombstoneCount();
 }
 
-wire::Pull object_replica::nextPull() const
+wire::Pull object_replica::nextPullRequest() const
 {
     wire::Pull pull;
     pull.set_after_revision(m_state->fullPull ? m_state->fullPull->revision : m_state->revision);
--- a/src/persimmonrail/sync/object_replica.h
+++ b/src/persimmonrail/sync/object_replica.h
@@ -71,7 +71,7 @@
 
     // Returns the next pull request. The request asks for every change after the known revision or,
     // while the whole state is being pulled, for the next page of the whole state.
-    wire::Pull nextPull() const;
+    wire::Pull nextPullRequest() const;
     // Applies the reply to a pull request whose after_revision was `afterRevision`. Returns false
     // if the reply was ignored: the sender is not ready, the reply starts above the known revision
     // or contains nothing new, or the sender lacks tombstones that are needed. After a truncated
--- a/src/persimmonrail/sync/pull_schedule.cpp
+++ b/src/persimmonrail/sync/pull_peer_selector.cpp
@@ -1,16 +1,17 @@
-#include "persimmonrail/sync/pull_schedule.h"
+#include "persimmonrail/sync/pull_peer_selector.h"
 
 #include <array>
 
 namespace persimmonrail {
 
-pull_schedule::pull_schedule(location self, std::vector<std::string> seeds, random_source random)
+pull_peer_selector::pull_peer_selector(location self, std::vector<std::string> seeds,
+                                       random_source random)
     : m_self(std::move(self))
     , m_seeds(std::move(seeds))
     , m_random(std::move(random))
 { }
 
-std::optional<pull_schedule::target> pull_schedule::next(const fleet_view &view)
+std::optional<pull_peer_selector::target> pull_peer_selector::next(const fleet_view &view)
 {
     std::vector<const member_record *> sameZone;
     std::vector<const member_record *> otherZone;
--- a/src/persimmonrail/sync/pull_schedule.h
+++ b/src/persimmonrail/sync/pull_peer_selector.h
@@ -19,7 +19,7 @@
 // Chooses the peer of each pull at random, in most cases from the daemon's own availability zone.
 //
 // Not thread safe; used on the control thread only.
-class pull_schedule
+class pull_peer_selector
 {
 public:
     struct location
@@ -36,7 +36,7 @@
     };
 
     // `seeds` are the control addresses to pull from as long as no other member is known.
-    pull_schedule(location self, std::vector<std::string> seeds, random_source random);
+    pull_peer_selector(location self, std::vector<std::string> seeds, random_source random);
 
     // Returns the peer of the next pull, or nullopt if there is neither another member nor a seed.
     std::optional<target> next(const fleet_view &view);
--- a/src/persimmonrail/sync/readiness.cpp
+++ b/src/persimmonrail/sync/readiness.cpp
@@ -9,13 +9,13 @@
     : m_selfName(std::move(selfName))
 { }
 
-void readiness::notePlatformRead(uint64_t revision)
+void readiness::recordPlatformRead(uint64_t revision)
 {
     m_hasReadPlatform = true;
     m_platformRevision = std::max(m_platformRevision, revision);
 }
 
-void readiness::notePull(const instance_id &peer, const wire::PullReply &reply)
+void readiness::recordPullReply(const instance_id &peer, const wire::PullReply &reply)
 {
     m_minimumRevision = std::max(m_minimumRevision, reply.floor());
     if (reply.revision() > 0 && peer.name != m_selfName) {
--- a/src/persimmonrail/sync/readiness.h
+++ b/src/persimmonrail/sync/readiness.h
@@ -35,11 +35,11 @@
 
     // Records a read of the platform. Must be called after a list or watch result with this
     // revision was passed to the object replica.
-    void notePlatformRead(uint64_t revision);
+    void recordPlatformRead(uint64_t revision);
     // Records the reply to a pull. Must be called for each reply, whether or not the reply was
     // applied. The reply of a peer that is not ready itself (revision 0) can only raise the minimum
     // revision.
-    void notePull(const instance_id &peer, const wire::PullReply &reply);
+    void recordPullReply(const instance_id &peer, const wire::PullReply &reply);
 
     // Updates the decision and returns whether the daemon is ready. `revision` is the revision of
     // the object replica.
--- a/src/persimmonrail/sync/tests/election_test.cpp
+++ b/src/persimmonrail/sync/tests/election_test.cpp
@@ -1,4 +1,4 @@
-#include "persimmonrail/sync/pull_schedule.h"
+#include "persimmonrail/sync/pull_peer_selector.h"
 #include "persimmonrail/sync/readiness.h"
 #include "persimmonrail/sync/relay_election.h"
 
@@ -42,7 +42,7 @@
 TEST_CASE("pulls are distributed over zones and regions in the specified ratios")
 {
     const auto view = makeView({"a1", "a2", "b1"}, 10);
-    pull_schedule schedule({"a1-0", "a1", "a"}, {"seed"}, std::mt19937_64(7));
+    pull_peer_selector schedule({"a1-0", "a1", "a"}, {"seed"}, std::mt19937_64(7));
     std::map<std::string, int> pulls;
     constexpr int total = 32000;
     for (int i = 0; i < total; ++i) {
@@ -61,14 +61,15 @@
         {{{"a2"}, "a2-0"}, {{"b1"}, "b1-0"}, {{"a1"}, ""}, {std::vector<std::string>{}, ""}}));
     // In zone a1, the requesting daemon is the only member.
     const auto view = makeView(zones, 1);
-    pull_schedule schedule({"a1-0", "a1", "a"}, {"seed"}, std::mt19937_64(7));
+    pull_peer_selector schedule({"a1-0", "a1", "a"}, {"seed"}, std::mt19937_64(7));
     for (int i = 0; i < 100; ++i) {
         const auto target = schedule.next(view);
         REQUIRE(target.has_value());
         CHECK(target->instance == expected);
         CHECK(target->controlAddress == (expected.empty() ? "seed" : "127.0.0.1:2"));
     }
-    CHECK_FALSE(pull_schedule({"a1-0", "a1", "a"}, {}, std::mt19937_64(7)).next({}).has_value());
+    CHECK_FALSE(
+        pull_peer_selector({"a1-0", "a1", "a"}, {}, std::mt19937_64(7)).next({}).has_value());
 }
 
 // Guards against a zone that has no relay after members failed, and against more than two watches
@@ -176,11 +177,11 @@
     CAPTURE(row.name);
     readiness readinessState("a1-0");
     if (row.platformRevision > 0) {
-        readinessState.notePlatformRead(row.platformRevision);
+        readinessState.recordPlatformRead(row.platformRevision);
     }
     for (const auto &reply : row.replies) {
-        readinessState.notePull({reply.peer, 1},
-                                makePullReply(reply.revision, reply.minimumRevision));
+        readinessState.recordPullReply({reply.peer, 1},
+                                       makePullReply(reply.revision, reply.minimumRevision));
     }
     CHECK(readinessState.evaluate(9, makeView(row.zones, row.perZone)) == row.isReady);
 }
--- a/src/persimmonrail/sync/tests/gossip_test.cpp
+++ b/src/persimmonrail/sync/tests/gossip_test.cpp
@@ -1,5 +1,5 @@
 #include "persimmonrail/sync/object_replica.h"
-#include "persimmonrail/sync/pull_schedule.h"
+#include "persimmonrail/sync/pull_peer_selector.h"
 #include "persimmonrail/sync/readiness.h"
 
 #include <catch2/catch.hpp>
@@ -58,7 +58,7 @@
     bool isRelay = false;
     std::unique_ptr<object_replica> replica;
     std::unique_ptr<readiness> readinessState;
-    std::unique_ptr<pull_schedule> schedule;
+    std::unique_ptr<pull_peer_selector> schedule;
     // Highest version of each object seen in this incarnation.
     std::map<std::string, uint64_t> versions;
     // Last revision of the previous incarnation, or 0 if that incarnation was not ready.
@@ -148,8 +148,8 @@
         daemon.replica = std::make_unique<object_replica>(object_replica::hooks{
             [](std::string_view) { return absl::UnimplementedError("no documents"); }, nullptr});
         daemon.readinessState = std::make_unique<readiness>(name);
-        daemon.schedule = std::make_unique<pull_schedule>(
-            pull_schedule::location{name, daemon.member.availabilityZone, "region"},
+        daemon.schedule = std::make_unique<pull_peer_selector>(
+            pull_peer_selector::location{name, daemon.member.availabilityZone, "region"},
             std::vector<std::string>(), std::mt19937_64(m_random()));
     }
 
@@ -198,7 +198,7 @@
             daemon.replica->applyWatch(since, {platform.revision(), {first, platform.log.end()}},
                                        m_now);
         }
-        daemon.readinessState->notePlatformRead(platform.revision());
+        daemon.readinessState->recordPlatformRead(platform.revision());
     }
 
     void pull(simulated_daemon &daemon)
@@ -209,7 +209,7 @@
         });
         const std::string name = daemon.member.id.name;
         for (bool hasMore = true; hasMore;) {
-            const auto request = daemon.replica->nextPull();
+            const auto request = daemon.replica->nextPullRequest();
             const uint64_t after = request.after_revision();
             const auto reply = peer.replica->respondToPull(request, daemon.member.id);
             const uint64_t previouslyReported = peer.reportedRevisions[name];
@@ -219,7 +219,7 @@
             }
             daemon.maxReceivedMinimumRevision =
                 std::max(daemon.maxReceivedMinimumRevision, previouslyReported);
-            daemon.readinessState->notePull(peer.member.id, reply);
+            daemon.readinessState->recordPullReply(peer.member.id, reply);
             hasMore = daemon.replica->applyPull(after, reply, m_now)
                 && reply.complete_to() < reply.revision();
         }
--- a/src/persimmonrail/sync/tests/object_replica_test.cpp
+++ b/src/persimmonrail/sync/tests/object_replica_test.cpp
@@ -48,7 +48,7 @@
 int pullAll(object_replica &from, object_replica &to)
 {
     for (int pages = 0;; ++pages) {
-        const auto pull = to.nextPull();
+        const auto pull = to.nextPullRequest();
         if (!to.applyPull(pull.after_revision(), from.respondToPull(pull, requester), start)) {
             return pages;
         }
@@ -177,10 +177,10 @@
     CHECK(peer.tombstoneCount() == minRetainedTombstones);
 
     for (int i = 0; i < maxRejectedPullReplies; ++i) {
-        CHECK(behind.nextPull().after_revision() == deletions);
+        CHECK(behind.nextPullRequest().after_revision() == deletions);
         CHECK(pullAll(peer, behind) == 0);
     }
-    CHECK(behind.nextPull().after_revision() == 0);
+    CHECK(behind.nextPullRequest().after_revision() == 0);
     pullAll(peer, behind);
     CHECK(behind.revision() == 2 * deletions);
     CHECK(behind.find("key1") == nullptr);
--- a/src/persimmonrail/upstream/tests/upstream_client_test.cpp
+++ b/src/persimmonrail/upstream/tests/upstream_client_test.cpp
@@ -52,7 +52,7 @@
     body_framing framing() const override { return {body_framing::kind::Length, m_text.size()}; }
     io_status read(std::string &piece, steady_time) override
     {
-        piece = m_text.substr(m_position, bodyPieceBytes);
+        piece = m_text.substr(m_position, maxBodyPieceBytes);
         m_position += piece.size();
         return io_status::Ok;
     }
@@ -166,7 +166,7 @@
     announcement.draining = true;
     CHECK(upstreamClient.announce(announcement, start + 6s).ok());
     CHECK(upstreamClient.announce(announcement, start + 7s).ok());
-    CHECK(upstreamClient.status(start + 8s).drainingFor == 2s);
+    CHECK(upstreamClient.status(start + 8s).timeSinceDraining == 2s);
     CHECK(events == std::vector<std::string>{"up", "down", "up", "restarted b2", "draining"});
 
     announcement.instance = "standin-2";
@@ -200,8 +200,8 @@
 {
     upstream_fixture fixture;
     fixture.grant(3);
-    for (const size_t size : {size_t{0}, size_t{1}, size_t{4096}, bodyPieceBytes,
-                              bodyPieceBytes + 1, size_t{5 * 1024 * 1024}}) {
+    for (const size_t size : {size_t{0}, size_t{1}, size_t{4096}, maxBodyPieceBytes,
+                              maxBodyPieceBytes + 1, size_t{5 * 1024 * 1024}}) {
         for (const bool chunked : {false, true}) {
             CAPTURE(size, chunked);
             std::string bytes(size, '\0');
--- a/src/persimmonrail/upstream/upstream_client.cpp
+++ b/src/persimmonrail/upstream/upstream_client.cpp
@@ -187,7 +187,7 @@
     result.announcement = m_announcement;
     result.inFlight = static_cast<int>(m_runningRequests.size());
     if (result.state == upstream_state::Draining) {
-        result.drainingFor = std::chrono::duration_cast<milliseconds>(now - m_drainingSince);
+        result.timeSinceDraining = std::chrono::duration_cast<milliseconds>(now - m_drainingSince);
     }
     result.isRefusingConnections = m_isRefusingConnections;
     result.healthHint = m_healthHint;
@@ -318,11 +318,11 @@
     exchange.repeatable = request.repeatable;
     exchange.deadline = request.deadline;
     if (request.leaseEnd) {
-        exchange.sendBefore = [this, &request] {
+        exchange.sendDeadline = [this, &request] {
             return request.leaseEnd() - m_options.dispatchMargin;
         };
         if (!announcement->checksGrants) {
-            exchange.abandonAt = request.leaseEnd;
+            exchange.abandonTime = request.leaseEnd;
         }
     }
     exchange.caller = request.caller;
@@ -346,9 +346,9 @@
 {
     dispatch_result result;
     result.responseStarted = exchange.responseStarted;
-    result.callerDisconnected = exchange.sinkGone;
+    result.callerDisconnected = exchange.receiverDisconnected;
     result.reason = toString(exchange.state);
-    result.outcome = exchange.anySent ? request_outcome::Unknown : request_outcome::NotRun;
+    result.outcome = exchange.hasSentBytes ? request_outcome::Unknown : request_outcome::NotRun;
     switch (exchange.state) {
     case exchange_state::Complete:
         result.outcome = request_outcome::Run;
@@ -380,7 +380,7 @@
         const std::lock_guard lock(m_mutex);
         if (result.reason == "upstream-refused-connection") {
             m_isRefusingConnections = true;
-        } else if (exchange.anySent) {
+        } else if (exchange.hasSentBytes) {
             m_isRefusingConnections = false;
         }
         if (exchange.state == exchange_state::Complete
--- a/src/persimmonrail/upstream/upstream_client.h
+++ b/src/persimmonrail/upstream/upstream_client.h
@@ -29,7 +29,7 @@
     // The latest announcement, even if it has expired; absent before the first one.
     std::optional<upstream_announcement> announcement;
     // Time since the upstream first announced that it is draining; zero unless `state` is Draining.
-    milliseconds drainingFor{0};
+    milliseconds timeSinceDraining{0};
     // Number of requests that have been dispatched and have not ended.
     int inFlight = 0;
     // Time since the latest of two events: part of a response arrived, or a request that is still
--- a/tests/measure/capacity_measure_main.cpp
+++ b/tests/measure/capacity_measure_main.cpp
@@ -186,7 +186,7 @@
                       .servingTable(table)
                       .build();
     coordinator::hooks coordinatorHooks;
-    coordinatorHooks.newerDocuments = [] { return std::vector<stored_object>(); };
+    coordinatorHooks.unevaluatedDocuments = [] { return std::vector<stored_object>(); };
     coordinator coordinating(instanceAt(0), "zone-0", coordinatorHooks);
     instance_directory directory("zone-0", [] { return [] { return uint64_t{1}; }; });
 
--- a/tests/measure/policies.cpp
+++ b/tests/measure/policies.cpp
@@ -25,7 +25,7 @@
                                    steady_time) override
     {
         const admission_options options;
-        const auto bound = static_cast<size_t>(options.queuePerSlot) * m_slots;
+        const auto bound = static_cast<size_t>(options.maxWaitingPerSlot) * m_slots;
         if (m_queues[rank].size() >= bound) {
             return std::nullopt;
         }
@@ -45,7 +45,7 @@
             const waiting_request request = m_queues[*rank].front();
             m_queues[*rank].pop_front();
             if (request.deadline <= now) {
-                decisions.push_back({request.id, queue_refusal{"deadline-unreachable", {}}});
+                decisions.push_back({request.id, queue_rejection{"deadline-unreachable", {}}});
                 continue;
             }
             m_running[request.id] = *rank;
--- a/tests/measure/policy_simulation.cpp
+++ b/tests/measure/policy_simulation.cpp
@@ -224,7 +224,7 @@
             const uint64_t number = instance.byPolicyId[decision.id];
             instance.byPolicyId.erase(decision.id);
             sim_request &request = m_requests[number];
-            if (decision.refusal) {
+            if (decision.rejection) {
                 refuse(request);
                 m_requests.erase(number);
                 continue;
--- a/tests/standins/scripted_server.cpp
+++ b/tests/standins/scripted_server.cpp
@@ -38,7 +38,7 @@
     }
 }
 
-void scripted_server::waitClosed(int count)
+void scripted_server::waitUntilClosed(int count)
 {
     std::unique_lock lock(m_mutex);
     m_changed.wait(lock, [&] { return m_closed >= count; });
--- a/tests/standins/scripted_server.h
+++ b/tests/standins/scripted_server.h
@@ -30,7 +30,7 @@
     const std::string &address() const { return m_address; }
     int connectionCount() const { return m_connections; }
     // Waits until this many connections have been closed by their scripts.
-    void waitClosed(int count);
+    void waitUntilClosed(int count);
 
 private:
     void acceptConnections();
--- a/tests/standins/upstream_standin.cpp
+++ b/tests/standins/upstream_standin.cpp
@@ -379,7 +379,7 @@
     const steady_time until = currentTime() + serviceTime(request);
     while (currentTime() < until) {
         const steady_time step = std::min(until, currentTime() + cancelCheckInterval);
-        const bool isClosed = exchange.connection().waitClosed(step);
+        const bool isClosed = exchange.connection().waitUntilClosed(step);
         const std::lock_guard lock(m_mutex);
         if (isClosed || m_stopping || m_cancelled.contains(requestId)) {
             return "cancelled";
@@ -429,9 +429,9 @@
     }
     const size_t sent = cut ? std::min<size_t>(*cut, body.size()) : body.size();
     bool whole = exchange.beginResponse(head, framing);
-    for (size_t at = 0; at < sent && whole; at += bodyPieceBytes) {
+    for (size_t at = 0; at < sent && whole; at += maxBodyPieceBytes) {
         whole = exchange.writeResponse(
-            std::string_view(body).substr(at, std::min(bodyPieceBytes, sent - at)));
+            std::string_view(body).substr(at, std::min(maxBodyPieceBytes, sent - at)));
     }
     // An answer that is cut is not ended, so that the server closes the connection.
     whole = whole && sent == body.size() && exchange.endResponse();
