--- a/src/persimmonrail/daemon/coordinator_driver.cpp
+++ b/src/persimmonrail/daemon/coordinator_driver.cpp
@@ -34,11 +34,11 @@
         return member.slots > 0 ? member_condition::Available : member_condition::Draining;
     };
     hooks.writeRecord = [this](const record_change &change) { writeRecord(change); };
-    hooks.newerDocuments = [this] { return documentsAwaitingDecision(); };
+    hooks.unevaluatedDocuments = [this] { return documentsAwaitingDecision(); };
     hooks.acceptDocument = [this](const std::string &service, const stored_object &config) {
         evaluateDocument(service, config);
     };
-    hooks.askConfirmation = [this](const member_record &helper, const member_record &suspect) {
+    hooks.requestProbe = [this](const member_record &helper, const member_record &suspect) {
         requestProbe(helper, suspect);
     };
     hooks.removeMember = [this](const member_record &member) { removeMember(member); };
@@ -52,7 +52,7 @@
 
 void coordinator_driver::pingMembers(steady_time now)
 {
-    for (const auto &member : m_coordinator.duePings(now)) {
+    for (const auto &member : m_coordinator.takeDuePings(now)) {
         wire::Request request;
         request.mutable_ping();
         m_messenger.send(member.controlAddress, std::move(request), pingTimeout,
@@ -157,8 +157,8 @@
                      [this, helper = helper.id, suspect = suspect.id](
                          const absl::StatusOr<wire::Reply> &reply, steady_time now) {
                          if (reply.ok() && reply->has_probe()) {
-                             m_coordinator.noteConfirmation(helper, suspect,
-                                                            reply->probe().answered(), now);
+                             m_coordinator.recordProbeResult(helper, suspect,
+                                                             reply->probe().answered(), now);
                          }
                      });
 }
--- a/src/persimmonrail/daemon/daemon_state.cpp
+++ b/src/persimmonrail/daemon/daemon_state.cpp
@@ -52,12 +52,12 @@
     , m_upstreamClient({},
                        {[this](upstream_state state, const upstream_announcement &announcement) {
                             if (state == upstream_state::Down) {
-                                m_quarantine.noteCrash(std::chrono::steady_clock::now());
+                                m_quarantine.recordCrash(std::chrono::steady_clock::now());
                             }
                             onUpstreamState(state, announcement);
                         },
                         [this](const upstream_announcement &announcement) {
-                            m_quarantine.noteCrash(std::chrono::steady_clock::now());
+                            m_quarantine.recordCrash(std::chrono::steady_clock::now());
                             // The new incarnation of the upstream holds no grants and does not know
                             // the requests of the previous one.
                             onUpstreamState(upstream_state::Down, announcement);
@@ -266,7 +266,7 @@
             m_memberPublisher->setSlots(m_isStopping ? 0 : announcement.slots);
             break;
         case upstream_state::Draining:
-            m_engine->drainAll(now);
+            m_engine->startShutdown(now);
             m_memberPublisher->setSlots(0);
             break;
         case upstream_state::Down:
@@ -297,7 +297,7 @@
     m_rejectNewWorkAt = (startedAt + newWorkRejectionDelay).time_since_epoch().count();
     m_loop.post([this](steady_time now) {
         m_memberPublisher->setSlots(0);
-        m_engine->drainAll(now);
+        m_engine->startShutdown(now);
     });
     bool isComplete = waitUntil(deadline, [this] { return m_isEngineDrained.load(); });
     waitUntil(std::min(deadline, startedAt + listenerCloseDelay), [] { return false; });
@@ -326,7 +326,7 @@
     }
     const auto upstream = m_upstreamClient.status(now);
     return upstream.state == upstream_state::Draining
-        && upstream.drainingFor >= newWorkRejectionDelay;
+        && upstream.timeSinceDraining >= newWorkRejectionDelay;
 }
 
 std::string daemon::state::notReadyReason() const
--- a/src/persimmonrail/daemon/daemon_traffic.cpp
+++ b/src/persimmonrail/daemon/daemon_traffic.cpp
@@ -80,12 +80,12 @@
                                 const std::vector<instance_id> &tried, steady_time now) {
         return m_instanceDirectory.pick(service, tried, now);
     };
-    hooks.attemptEnded = [this](std::string_view service, const member_record &member,
+    hooks.onAttemptEnd = [this](std::string_view service, const member_record &member,
                                 request_outcome outcome, std::string_view reason,
                                 std::chrono::nanoseconds duration, steady_time now) {
         m_instanceDirectory.finish(service, member.id, outcome, reason, duration, now);
     };
-    hooks.retryBudget = [this](bool isRetry, steady_time now) {
+    hooks.consumeRetryBudget = [this](bool isRetry, steady_time now) {
         if (isRetry) {
             return m_retryBudget.tryRetry(now);
         }
@@ -95,17 +95,17 @@
     hooks.admit = [this](const admission_request &request, steady_time now) {
         return m_admission.admit(request, now);
     };
-    hooks.atMostOnceBegin = [this](std::string_view service, std::string_view idempotencyKey,
+    hooks.beginAtMostOnce = [this](std::string_view service, std::string_view idempotencyKey,
                                    const lease_ticket &ticket, steady_time now) {
         return beginAtMostOnce(service, idempotencyKey, ticket, now);
     };
-    hooks.atMostOnceEnd = [this](std::string_view service, std::string_view idempotencyKey,
+    hooks.endAtMostOnce = [this](std::string_view service, std::string_view idempotencyKey,
                                  request_outcome outcome,
                                  const std::shared_ptr<const stored_response> &response) {
         endAtMostOnce(service, idempotencyKey, outcome, response);
     };
     hooks.quarantine = &m_quarantine;
-    hooks.refusesNewWork = [this](steady_time now) { return rejectsNewWork(now); };
+    hooks.rejectsNewRequests = [this](steady_time now) { return rejectsNewWork(now); };
     return hooks;
 }
 
@@ -132,7 +132,7 @@
     const auto servingSince = m_servingTable.servingSince(ticket.partition(), ticket.term());
     if (!key.ok() || !servingSince) {
         at_most_once_verdict rejection;
-        rejection.what = at_most_once_verdict::action::Refuse;
+        rejection.decision = at_most_once_verdict::action::Reject;
         rejection.outcome = request_outcome::NotRun;
         rejection.reason = key.ok() ? "not-owner" : "invalid-idempotency-key";
         return rejection;
@@ -163,7 +163,7 @@
         }
         return m_upstreamClient.announce(announcement, std::chrono::steady_clock::now());
     };
-    hooks.metricsText = [this] { return m_metrics.renderText(); };
+    hooks.renderMetrics = [this] { return m_metrics.renderText(); };
     hooks.notReadyReason = [this] { return notReadyReason(); };
     hooks.explain = [this](const std::string &service, const std::string &key) {
         return m_requestRouter->explain(service, key, std::chrono::steady_clock::now());
--- a/src/persimmonrail/daemon/sync_driver.cpp
+++ b/src/persimmonrail/daemon/sync_driver.cpp
@@ -54,14 +54,14 @@
     hooks.listed = [this](const object_list &list) {
         m_loop.post([this, list](steady_time now) {
             m_replica.applyList(list, now);
-            m_readiness.notePlatformRead(list.revision);
+            m_readiness.recordPlatformRead(list.revision);
             publishView(now);
         });
     };
     hooks.changed = [this](uint64_t sinceRevision, const object_list &changes) {
         m_loop.post([this, sinceRevision, changes](steady_time now) {
             m_replica.applyWatch(sinceRevision, changes, now);
-            m_readiness.notePlatformRead(changes.revision);
+            m_readiness.recordPlatformRead(changes.revision);
             publishView(now);
         });
     };
@@ -94,7 +94,7 @@
 void sync_driver::pullFrom(const std::string &controlAddress)
 {
     wire::Request request;
-    *request.mutable_pull() = m_replica.nextPull();
+    *request.mutable_pull() = m_replica.nextPullRequest();
     const uint64_t afterRevision = request.pull().after_revision();
     m_messenger.send(controlAddress, std::move(request), pullTimeout,
                      [this, controlAddress, afterRevision](const absl::StatusOr<wire::Reply> &reply,
@@ -111,7 +111,7 @@
     if (m_onPullReply) {
         m_onPullReply(reply.pull(), now);
     }
-    m_readiness.notePull(fromWire(reply.sender()), reply.pull());
+    m_readiness.recordPullReply(fromWire(reply.sender()), reply.pull());
     const bool applied = m_replica.applyPull(afterRevision, reply.pull(), now);
     publishView(now);
     // If the reply did not contain all changes, the next pull follows at once, so that a daemon
--- a/src/persimmonrail/daemon/tests/crash_quarantine_test.cpp
+++ b/src/persimmonrail/daemon/tests/crash_quarantine_test.cpp
@@ -40,7 +40,8 @@
     target.merge(quarantineFromWire(reply), now);
     CHECK(target.size() == maxQuarantineEntriesPerReply);
     CHECK(target.entries(100, now) == source.entries(maxQuarantineEntriesPerReply, now));
-    CHECK(target.refusedFor(reply.quarantine(0).fingerprint(), now) == milliseconds(599'000));
+    CHECK(target.remainingRejectionTime(reply.quarantine(0).fingerprint(), now)
+          == milliseconds(599'000));
 
     wire::PullReply oversizedReply;
     oversizedReply.add_quarantine()->set_age_ms(UINT64_MAX);
--- a/tests/measure/policy_simulation.cpp
+++ b/tests/measure/policy_simulation.cpp
@@ -247,7 +247,7 @@
             const uint64_t requestId = instance.requestIdByPolicyId[decision.id];
             instance.requestIdByPolicyId.erase(decision.id);
             sim_request &request = m_requests[requestId];
-            if (decision.refusal) {
+            if (decision.rejection) {
                 countRejected(request);
                 m_requests.erase(requestId);
                 continue;
--- a/tests/standins/scripted_server.h
+++ b/tests/standins/scripted_server.h
@@ -33,7 +33,7 @@
     // Returns the number of connections accepted so far.
     int connectionCount() const { return m_connectionCount; }
     // Blocks, without a timeout, until the scripts of at least `count` connections have ended.
-    void waitClosed(int count);
+    void waitUntilClosed(int count);
 
 private:
     void acceptConnections();
--- a/tests/standins/upstream_standin.cpp
+++ b/tests/standins/upstream_standin.cpp
@@ -385,7 +385,7 @@
     const steady_time end = currentTime() + serviceTime(request);
     while (currentTime() < end) {
         const steady_time pollEnd = std::min(end, currentTime() + cancelPollInterval);
-        const bool isClosed = exchange.connection().waitClosed(pollEnd);
+        const bool isClosed = exchange.connection().waitUntilClosed(pollEnd);
         const std::lock_guard lock(m_mutex);
         if (isClosed || m_isStopping || m_cancelledRequests.contains(requestId)) {
             return "cancelled";
@@ -435,9 +435,9 @@
     }
     const size_t sent = truncateAt ? std::min<size_t>(*truncateAt, body.size()) : body.size();
     bool isComplete = exchange.beginResponse(head, framing);
-    for (size_t offset = 0; offset < sent && isComplete; offset += bodyPieceBytes) {
+    for (size_t offset = 0; offset < sent && isComplete; offset += maxBodyPieceBytes) {
         isComplete = exchange.writeResponse(
-            std::string_view(body).substr(offset, std::min(bodyPieceBytes, sent - offset)));
+            std::string_view(body).substr(offset, std::min(maxBodyPieceBytes, sent - offset)));
     }
     // A truncated response is not ended, so that the server closes the connection.
     isComplete = isComplete && sent == body.size() && exchange.endResponse();
