--- a/src/persimmonrail/objects/http_connection_pool.cpp
+++ b/src/persimmonrail/objects/http_connection_pool.cpp
@@ -9,9 +9,9 @@
 namespace persimmonrail {
 namespace {
 
-// Servers commonly close idle connections after 15 s or more; a shorter limit here avoids sending
-// on a connection that is just being closed.
-constexpr std::chrono::seconds maxIdle{5};
+// Servers commonly close idle connections after 15 s or more. The shorter limit here avoids sending
+// on a connection that the server is about to close.
+constexpr std::chrono::seconds maxIdleTime{5};
 constexpr size_t maxIdleConnections = 8;
 // A list of all 26,800 placement records takes about 20 MB.
 constexpr size_t maxResponseBytes = 128 * 1024 * 1024;
@@ -21,37 +21,40 @@
     return {static_cast<Poco::Timespan::TimeDiff>(time.count()) * Poco::Timespan::MILLISECONDS};
 }
 
-absl::Status broken(const std::string &reason)
+absl::Status exchangeFailure(const std::string &reason)
 {
-    return absl::UnknownError(absl::StrCat("exchange broke: ", reason));
+    return absl::UnknownError(absl::StrCat("the exchange failed: ", reason));
 }
 
-// Reads the body; the stream swallows exceptions of the socket, so the length is checked.
-absl::StatusOr<std::string> readBody(std::istream &stream, std::streamsize expected,
+// Returns the rest of `stream`. Checks the length of the body against `expectedLength` because the
+// stream hides the exceptions of the socket. Errors: DataLoss above the size limit,
+// DeadlineExceeded after `timeout`, Unknown if the body is truncated.
+absl::StatusOr<std::string> readBody(std::istream &stream, std::streamsize expectedLength,
                                      milliseconds timeout)
 {
-    const auto end = std::chrono::steady_clock::now() + timeout;
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
     std::string body;
     char buffer[16 * 1024];
     while (stream.read(buffer, sizeof buffer) || stream.gcount() > 0) {
         body.append(buffer, static_cast<size_t>(stream.gcount()));
         if (body.size() > maxResponseBytes) {
-            return absl::DataLossError("the answer exceeds the size limit");
+            return absl::DataLossError("the response exceeds the size limit");
         }
-        if (std::chrono::steady_clock::now() > end) {
-            return absl::DeadlineExceededError("the answer takes too long");
+        if (std::chrono::steady_clock::now() > deadline) {
+            return absl::DeadlineExceededError("the response body was not received in time");
         }
     }
-    const bool isShort = expected != Poco::Net::HTTPMessage::UNKNOWN_CONTENT_LENGTH
-        && static_cast<std::streamsize>(body.size()) != expected;
-    if (isShort || stream.bad()) {
-        return broken("the answer is truncated");
+    const bool isTruncated = expectedLength != Poco::Net::HTTPMessage::UNKNOWN_CONTENT_LENGTH
+        && static_cast<std::streamsize>(body.size()) != expectedLength;
+    if (isTruncated || stream.bad()) {
+        return exchangeFailure("the response is truncated");
     }
     return body;
 }
 
 } // namespace
 
+// One connection to the server.
 class http_connection_pool::session : public Poco::Net::HTTPClientSession
 {
 public:
@@ -59,7 +62,7 @@
         : HTTPClientSession(address)
     {
         setKeepAlive(true);
-        // The pool discards idle connections itself.
+        // acquire() discards idle connections after maxIdleTime, well before these 60 s.
         setKeepAliveTimeout(Poco::Timespan(60, 0));
         setTimeout(toTimespan(timeout), toTimespan(timeout), toTimespan(timeout));
     }
@@ -69,7 +72,8 @@
     {
         socket().setReceiveTimeout(toTimespan(timeout));
     }
-    // An idle connection with something to read was closed or is out of step.
+    // Returns whether the idle connection must not be reused. Readable data on an idle connection
+    // means that the server closed the connection or sent data that belongs to no request.
     bool isStale()
     {
         return !connected() || socket().poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ);
@@ -86,23 +90,24 @@
 
 http_connection_pool::~http_connection_pool() = default;
 
-absl::StatusOr<http_connection_pool::lease> http_connection_pool::acquire(bool mustBeNew)
+absl::StatusOr<http_connection_pool::pooled_connection>
+http_connection_pool::acquire(bool mustBeNew)
 {
     if (!mustBeNew) {
         const std::lock_guard lock(m_mutex);
-        const auto oldest = std::chrono::steady_clock::now() - maxIdle;
+        const auto minIdleSince = std::chrono::steady_clock::now() - maxIdleTime;
         while (!m_idle.empty()) {
             auto connection = std::move(m_idle.back());
             m_idle.pop_back();
-            if (connection->idleSince >= oldest && !connection->isStale()) {
-                return lease{std::move(connection), true};
+            if (connection->idleSince >= minIdleSince && !connection->isStale()) {
+                return pooled_connection{std::move(connection), true};
             }
         }
     }
     try {
         auto connection = std::make_unique<session>(m_address, m_timeout);
         connection->open();
-        return lease{std::move(connection), false};
+        return pooled_connection{std::move(connection), false};
     } catch (const Poco::Exception &error) {
         return absl::UnavailableError(absl::StrCat("cannot connect: ", error.displayText()));
     }
@@ -117,18 +122,18 @@
     }
 }
 
-absl::StatusOr<http_response> http_connection_pool::send(const http_call &call,
+absl::StatusOr<http_response> http_connection_pool::send(const http_request &request,
                                                          std::unique_ptr<session> connection)
 {
     using namespace Poco::Net;
     try {
-        connection->setReceiveTimeout(call.receiveTimeout);
-        HTTPRequest request(call.method, call.target, HTTPMessage::HTTP_1_1);
-        request.setContentLength(static_cast<std::streamsize>(call.body.size()));
-        connection->sendRequest(request) << call.body << std::flush;
+        connection->setReceiveTimeout(request.receiveTimeout);
+        HTTPRequest head(request.method, request.target, HTTPMessage::HTTP_1_1);
+        head.setContentLength(static_cast<std::streamsize>(request.body.size()));
+        connection->sendRequest(head) << request.body << std::flush;
         HTTPResponse response;
         std::istream &stream = connection->receiveResponse(response);
-        auto body = readBody(stream, response.getContentLength(), call.receiveTimeout);
+        auto body = readBody(stream, response.getContentLength(), request.receiveTimeout);
         if (!body.ok()) {
             return body.status();
         }
@@ -137,38 +142,38 @@
         }
         return http_response{response.getStatus(), *std::move(body)};
     } catch (const NoMessageException &) {
-        return broken("connection closed without an answer");
+        return exchangeFailure("the server closed the connection without a response");
     } catch (const MessageException &error) {
-        return absl::DataLossError(absl::StrCat("malformed answer: ", error.displayText()));
+        return absl::DataLossError(absl::StrCat("malformed response: ", error.displayText()));
     } catch (const Poco::TimeoutException &) {
-        return absl::DeadlineExceededError("no answer in time");
+        return absl::DeadlineExceededError("no response within the timeout");
     } catch (const Poco::Exception &error) {
-        return broken(error.displayText());
+        return exchangeFailure(error.displayText());
     }
 }
 
-absl::StatusOr<http_response> http_connection_pool::attempt(const http_call &call)
+absl::StatusOr<http_response> http_connection_pool::exchangeWithRetry(const http_request &request)
 {
     auto first = acquire(false);
     if (!first.ok()) {
         return first.status();
     }
     const bool isReused = first->isReused;
-    auto response = send(call, std::move(first->connection));
-    // A second attempt after a timeout would double the caller's waiting time.
-    if (!absl::IsUnknown(response.status()) || !isReused || !call.isRepeatable) {
+    auto response = send(request, std::move(first->connection));
+    // A second attempt after a timeout would double the time that the caller waits.
+    if (!absl::IsUnknown(response.status()) || !isReused || !request.isRepeatable) {
         return response;
     }
     auto second = acquire(true);
     if (!second.ok()) {
         return second.status();
     }
-    return send(call, std::move(second->connection));
+    return send(request, std::move(second->connection));
 }
 
-absl::StatusOr<http_response> http_connection_pool::exchange(const http_call &call)
+absl::StatusOr<http_response> http_connection_pool::exchange(const http_request &request)
 {
-    auto response = attempt(call);
+    auto response = exchangeWithRetry(request);
     if (response.ok()) {
         return response;
     }
--- a/src/persimmonrail/objects/http_object_api.cpp
+++ b/src/persimmonrail/objects/http_object_api.cpp
@@ -30,19 +30,20 @@
     return absl::StrCat("/v1/objects/", encodeUri(key, "?#%&+=;:@!$'()*,[]"));
 }
 
-std::string parameter(const std::string &text)
+std::string encodeQueryValue(const std::string &text)
 {
     return encodeUri(text, "?#%&+=;:@!$'()*,[]/");
 }
 
-absl::Status malformed(const std::string &reason)
+absl::Status malformedResponse(const std::string &reason)
 {
-    return absl::DataLossError(absl::StrCat("malformed answer of the platform: ", reason));
+    return absl::DataLossError(absl::StrCat("malformed response of the platform: ", reason));
 }
 
-absl::Status checkStatus(int status)
+// Maps the HTTP status of a response to a status; 200 is OK.
+absl::Status toStatus(int status)
 {
-    const std::string message = absl::StrCat("platform answered ", status);
+    const std::string message = absl::StrCat("the platform responded with status ", status);
     switch (status) {
     case 200:
         return absl::OkStatus();
@@ -62,10 +63,11 @@
     if (status >= 400 && status < 500) {
         return absl::InvalidArgumentError(message);
     }
-    return status >= 500 ? absl::UnknownError(message) : malformed(message);
+    return status >= 500 ? absl::UnknownError(message) : malformedResponse(message);
 }
 
-// Runs `decode` on the JSON object in an answer.
+// Parses the response body as a JSON object and returns `decode` of the object. Errors: DataLoss if
+// the body is no JSON object or `decode` throws.
 template <typename Value, typename Decode>
 absl::StatusOr<Value> decodeResponse(const http_response &response, const Decode &decode)
 {
@@ -73,14 +75,15 @@
         Poco::JSON::Parser parser;
         return decode(*parser.parse(response.body).extract<Object::Ptr>());
     } catch (const Poco::Exception &error) {
-        return malformed(error.displayText());
+        return malformedResponse(error.displayText());
     } catch (const std::exception &error) {
-        return malformed(error.what());
+        return malformedResponse(error.what());
     }
 }
 
-// Poco converts between numbers, texts and booleans; versions are integers only.
-uint64_t readNumber(const Object &object, const std::string &field)
+// Returns an integer field. Rejects other types explicitly because Poco would convert strings and
+// booleans to numbers. Throws Poco::Exception.
+uint64_t readInteger(const Object &object, const std::string &field)
 {
     const auto value = object.get(field);
     if (!value.isInteger() || value.isBoolean()) {
@@ -89,7 +92,7 @@
     return value.convert<Poco::UInt64>();
 }
 
-std::string readText(const Object &object, const std::string &field)
+std::string readString(const Object &object, const std::string &field)
 {
     return object.get(field).extract<std::string>();
 }
@@ -97,11 +100,11 @@
 stored_object readObject(const Object &object)
 {
     stored_object stored;
-    stored.key = readText(object, "key");
-    stored.version = readNumber(object, "version");
+    stored.key = readString(object, "key");
+    stored.version = readInteger(object, "version");
     stored.deleted = object.has("deleted") && object.get("deleted").extract<bool>();
     if (!stored.deleted) {
-        stored.value = readText(object, "value");
+        stored.value = readString(object, "value");
     }
     if (stored.version == 0) {
         throw Poco::DataFormatException("version");
@@ -112,7 +115,7 @@
 object_list readList(const Object &object, const std::string &field)
 {
     object_list list;
-    list.revision = readNumber(object, "revision");
+    list.revision = readInteger(object, "revision");
     const Array::Ptr entries = object.getArray(field);
     if (entries.isNull()) {
         throw Poco::DataFormatException(field);
@@ -127,7 +130,8 @@
     return list;
 }
 
-// Thread safe: the pool is, and the other members are constant.
+// Implements the operations of object_api over HTTP. Thread safe, since the pool is thread safe and
+// the other members are constant.
 class http_object_client
 {
 public:
@@ -139,7 +143,7 @@
     absl::StatusOr<stored_object> get(const std::string &key)
     {
         if (key.empty()) {
-            return absl::InvalidArgumentError("key is empty");
+            return absl::InvalidArgumentError("the key is empty");
         }
         const auto response = read(objectTarget(key), m_timeout);
         if (!response.ok()) {
@@ -147,22 +151,23 @@
         }
         auto object = decodeResponse<stored_object>(*response, readObject);
         if (object.ok() && object->key != key) {
-            return malformed(absl::StrCat("object ", object->key, " instead of ", key));
+            return malformedResponse(
+                absl::StrCat("returned object ", object->key, " instead of ", key));
         }
         return object;
     }
 
     absl::StatusOr<object_list> list(const std::string &prefix)
     {
-        return readObjects(absl::StrCat("/v1/objects?prefix=", parameter(prefix)), "objects",
+        return readObjects(absl::StrCat("/v1/objects?prefix=", encodeQueryValue(prefix)), "objects",
                            m_timeout);
     }
 
     absl::StatusOr<object_list> watch(const std::string &prefix, uint64_t revision,
                                       milliseconds wait)
     {
-        return readObjects(absl::StrCat("/v1/watch?prefix=", parameter(prefix), "&since=", revision,
-                                        "&wait_ms=", wait.count()),
+        return readObjects(absl::StrCat("/v1/watch?prefix=", encodeQueryValue(prefix),
+                                        "&since=", revision, "&wait_ms=", wait.count()),
                            "events", m_timeout + wait);
     }
 
@@ -170,12 +175,12 @@
                                    uint64_t expectedVersion, const std::string &value)
     {
         if (key.empty() || value.size() > maxObjectBytes) {
-            return absl::InvalidArgumentError("key is empty or value exceeds one megabyte");
+            return absl::InvalidArgumentError("the key is empty or the value exceeds one megabyte");
         }
         const std::string target = absl::StrCat(objectTarget(key), "?version=", expectedVersion);
         const auto response = m_pool.exchange({method, target, value, m_timeout, false});
         auto version = response.ok() ? readVersion(*response) : response.status();
-        // The write may have taken effect although its answer is unusable.
+        // The write may have taken effect although the response is unusable.
         if (version.status().code() == absl::StatusCode::kDataLoss) {
             return absl::UnknownError(version.status().message());
         }
@@ -186,15 +191,15 @@
     static absl::StatusOr<uint64_t> readVersion(const http_response &response)
     {
         if (response.status == 404) {
-            return absl::InvalidArgumentError("platform answered 404 to a write");
+            return absl::InvalidArgumentError("the platform responded to a write with status 404");
         }
-        if (auto status = checkStatus(response.status); !status.ok()) {
+        if (auto status = toStatus(response.status); !status.ok()) {
             return status;
         }
         auto version = decodeResponse<uint64_t>(
-            response, [](const Object &object) { return readNumber(object, "version"); });
+            response, [](const Object &object) { return readInteger(object, "version"); });
         if (version.ok() && *version == 0) {
-            return malformed("version 0");
+            return malformedResponse("the version is 0");
         }
         return version;
     }
@@ -213,8 +218,9 @@
     absl::StatusOr<http_response> read(const std::string &target, milliseconds timeout)
     {
         auto response = m_pool.exchange({"GET", target, "", timeout, true});
-        auto status = response.ok() ? checkStatus(response->status) : response.status();
-        // A read has no effect, so a broken exchange leaves nothing in doubt.
+        auto status = response.ok() ? toStatus(response->status) : response.status();
+        // A read changes nothing, so the caller may treat a failed exchange as if the request had
+        // not been sent.
         if (status.code() == absl::StatusCode::kUnknown) {
             status = absl::UnavailableError(status.message());
         }
@@ -228,7 +234,8 @@
     const milliseconds m_timeout;
 };
 
-object_api failingApi(const absl::Status &status)
+// Returns an object API whose functions all fail with `status`.
+object_api makeFailingApi(const absl::Status &status)
 {
     object_api api;
     api.get = [status](const std::string &) { return status; };
@@ -245,7 +252,7 @@
 {
     const auto parsed = parseSocketAddress(address);
     if (!parsed.ok()) {
-        return failingApi(parsed.status());
+        return makeFailingApi(parsed.status());
     }
     auto client = std::make_shared<http_object_client>(*parsed, timeout);
     object_api api;
@@ -275,8 +282,8 @@
     if (version == expectedVersion) {
         return read_back_result{read_back_state::NotWritten, version};
     }
-    const bool isWritten = version > expectedVersion && object->value == value;
-    return read_back_result{isWritten ? read_back_state::Written : read_back_state::Replaced,
+    const bool hasWrittenValue = version > expectedVersion && object->value == value;
+    return read_back_result{hasWrittenValue ? read_back_state::Written : read_back_state::Replaced,
                             version};
 }
 
--- a/src/persimmonrail/objects/object_api.h
+++ b/src/persimmonrail/objects/object_api.h
@@ -11,43 +11,51 @@
 
 namespace persimmonrail {
 
-// One object of the platform's store. Versions are store-wide: each write gets a higher one.
+// One object of the platform's store. Versions are store-wide: every write, to any object, gets a
+// higher version than all writes before.
 struct stored_object
 {
     std::string key;
     uint64_t version = 0;
+    // True for a tombstone, which has no value.
     bool deleted = false;
     std::string value;
 };
 
+// Objects of a list, or changes of a watch.
 struct object_list
 {
-    // The list holds every write up to this version.
+    // The list covers every write up to this version.
     uint64_t revision = 0;
     std::vector<stored_object> objects;
 };
 
-// The platform's object API as hooks, so that tests can put a fake in its place. Hooks block and
-// may be called from any thread.
+// The platform's object API as function objects, so that tests can replace them by fakes. The
+// functions block and may be called from any thread.
 //
-// Errors common to all: Unavailable if the platform refused or could not be reached and a write
-// certainly had no effect; Unknown if a write may have taken effect, in which case the object must
-// be read back before anything is concluded; ResourceExhausted if the platform's rate is exceeded.
+// Errors common to all functions: Unavailable if the platform rejected the request or could not be
+// reached, and a write certainly had no effect; Unknown if a write may have taken effect, in which
+// case the caller must read the object back before drawing any conclusion; ResourceExhausted if the
+// platform's rate limit is exceeded.
 struct object_api
 {
-    // Errors: NotFound.
+    // Returns the current object. Errors: NotFound.
     std::function<absl::StatusOr<stored_object>(const std::string &key)> get;
-    // Writes if the current version is `expectedVersion`; 0 means that the object must not exist.
-    // Returns the new version. Errors: Aborted if the version differs.
+    // Writes the object if its current version is `expectedVersion`; 0 means that the object must
+    // not exist. Returns the new version. Errors: Aborted if the version differs.
     std::function<absl::StatusOr<uint64_t>(const std::string &key, uint64_t expectedVersion,
                                            const std::string &value)>
         put;
-    // Errors: Aborted if the version differs.
+    // Deletes the object if its current version is `expectedVersion`. Returns the version of the
+    // deletion if the store reports one, else `expectedVersion`. Errors: Aborted if the version
+    // differs.
     std::function<absl::StatusOr<uint64_t>(const std::string &key, uint64_t expectedVersion)>
         remove;
+    // Returns all objects whose keys start with `prefix`.
     std::function<absl::StatusOr<object_list>(const std::string &prefix)> list;
-    // Returns the changes after `revision`, waiting up to `wait` for the first one. Errors:
-    // OutOfRange if the store no longer has them, in which case the caller lists anew.
+    // Returns the changes after `revision` under `prefix`, deletions included. Waits up to `wait`
+    // for the first change. Errors: OutOfRange if the store no longer has these changes, in which
+    // case the caller must list the objects again.
     std::function<absl::StatusOr<object_list>(const std::string &prefix, uint64_t revision,
                                               milliseconds wait)>
         watch;
--- a/src/persimmonrail/objects/object_list_codec.cpp
+++ b/src/persimmonrail/objects/object_list_codec.cpp
@@ -40,7 +40,7 @@
     for (size_t i = 0; objects && i < objects->size(); ++i) {
         const Poco::JSON::Object::Ptr entry = objects->getObject(i);
         if (!entry) {
-            return absl::InvalidArgumentError("an object is none");
+            return absl::InvalidArgumentError("an entry of 'objects' is not a JSON object");
         }
         list.objects.push_back({entry->getValue<std::string>("key"),
                                 entry->getValue<uint64_t>("version"), false,
--- a/src/persimmonrail/objects/object_list_codec.h
+++ b/src/persimmonrail/objects/object_list_codec.h
@@ -11,11 +11,13 @@
 
 namespace persimmonrail {
 
-// The outcome of a call that ends with objects, as daemons tell it to each other in JSON. Objects
-// that were deleted are left out.
+// Encodes the result of a list call, objects or error, as the JSON that daemons exchange. Deleted
+// objects are left out.
 Poco::JSON::Object encodeObjectList(const absl::StatusOr<object_list> &outcome);
 
-// Errors: the one that was encoded; InvalidArgument if a field is missing or of another type.
+// Decodes the JSON of encodeObjectList(). Errors: the encoded error; InvalidArgument if an entry of
+// "objects" is not a JSON object. Throws Poco::Exception if a field is missing or cannot be
+// converted; within decodeJson(), the result is InvalidArgument.
 absl::StatusOr<object_list> decodeObjectList(const Poco::JSON::Object &object);
 
 } // namespace persimmonrail
--- a/src/persimmonrail/objects/tests/http_object_api_test.cpp
+++ b/src/persimmonrail/objects/tests/http_object_api_test.cpp
@@ -17,14 +17,15 @@
 
 namespace {
 
-// Long enough for a busy machine; only tests that provoke a timeout use a short one.
+// Long enough for a heavily loaded machine. Only tests that provoke a timeout use a shorter one.
 constexpr milliseconds timeout{60'000};
 
-// Answers `count` connections with fixed bytes once a request's header has arrived, then closes.
-class raw_server
+// Accepts `count` connections. Sends fixed bytes on each connection after the header of a request
+// has arrived, then closes the connection.
+class fixed_response_server
 {
 public:
-    raw_server(std::string bytes, int count)
+    fixed_response_server(std::string bytes, int count)
         : m_socket(Poco::Net::SocketAddress("127.0.0.1:0"))
         , m_thread([this, bytes = std::move(bytes), count] {
             for (int i = 0; i < count; ++i) {
@@ -32,7 +33,7 @@
             }
         })
     { }
-    ~raw_server() { m_thread.join(); }
+    ~fixed_response_server() { m_thread.join(); }
     std::string address() const { return m_socket.address().toString(); }
 
 private:
@@ -50,7 +51,7 @@
         }
         connection.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
         connection.shutdownSend();
-        // Reading up to the end avoids a reset that would discard the answer.
+        // Unread data at the close would cause a TCP reset, which could discard the response.
         while (connection.receiveBytes(buffer, sizeof buffer) > 0) { }
     }
 
@@ -69,8 +70,8 @@
     return httpResponse(status, body, body.size());
 }
 
-std::string control(const std::string &address, const std::string &method,
-                    const std::string &target)
+std::string sendControlRequest(const std::string &address, const std::string &method,
+                               const std::string &target)
 {
     Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(address)};
     Poco::Net::HTTPRequest request(method, target, "HTTP/1.1");
@@ -84,7 +85,7 @@
 
 } // namespace
 
-TEST_CASE("objects are written under their version only", "[platform]")
+TEST_CASE("a write succeeds only with the current version", "[platform]")
 {
     platform_standin standin;
     const auto api = makeHttpObjectApi(standin.address(), timeout);
@@ -103,7 +104,7 @@
     CHECK(absl::IsAborted(api.remove("config/a", 0).status()));
 }
 
-// Guards against keys or values that change on the way through URLs and JSON.
+// Guards against keys or values that are altered by URL or JSON encoding.
 TEST_CASE("keys and values arrive unchanged", "[platform]")
 {
     platform_standin standin;
@@ -155,7 +156,8 @@
     CHECK(change->objects[0].value == "new");
 }
 
-// Guards against a relay that misses changes after the store has dropped them.
+// Guards against a relay, a daemon that watches the store for others, that misses changes which the
+// store has already compacted.
 TEST_CASE("a watch of a compacted revision fails", "[platform]")
 {
     platform_standin standin;
@@ -175,8 +177,9 @@
     CHECK(absl::IsOutOfRange(waiting.get().status()));
 }
 
-// Guards the cause of double ownership: concluding anything from a write whose answer was lost.
-TEST_CASE("a write without an answer is unknown and can be read back", "[platform]")
+// Guards against two owners of one key, which would result if a daemon assumed that a write whose
+// response was lost had or had not taken effect.
+TEST_CASE("a write without a response is unknown and can be read back", "[platform]")
 {
     platform_standin standin;
     const auto api = makeHttpObjectApi(standin.address(), timeout);
@@ -197,7 +200,7 @@
     CHECK(absl::IsUnavailable(readBack(api, "a", 1, "second").status()));
 }
 
-TEST_CASE("an outage is unavailable and ends", "[platform]")
+TEST_CASE("calls are unavailable during an outage and work after it", "[platform]")
 {
     platform_standin standin;
     const auto api = makeHttpObjectApi(standin.address(), timeout);
@@ -224,7 +227,7 @@
     CHECK(absl::IsInvalidArgument(makeHttpObjectApi("host:1", timeout).list("").status()));
 }
 
-TEST_CASE("a silent platform leaves a write unknown", "[platform]")
+TEST_CASE("a write to an unresponsive platform is unknown", "[platform]")
 {
     platform_standin standin;
     standin.setDelay(timeout);
@@ -233,8 +236,8 @@
     CHECK(absl::IsUnknown(api.put("a", 0, "x").status()));
 }
 
-// Guards against reading damaged or foreign answers as state of the fleet.
-TEST_CASE("each answer has its error", "[platform]")
+// Guards against taking damaged responses, or responses for another object, as state of the fleet.
+TEST_CASE("each kind of response maps to its error", "[platform]")
 {
     using code = absl::StatusCode;
     const auto [bytes, read, write] = GENERATE(table<std::string, code, code>({
@@ -260,13 +263,14 @@
         {std::string(), code::kUnavailable, code::kUnknown},
     }));
     CAPTURE(bytes);
-    raw_server server(bytes, 2);
+    fixed_response_server server(bytes, 2);
     const auto api = makeHttpObjectApi(server.address(), timeout);
     CHECK(api.get("a").status().code() == read);
     CHECK(api.put("a", 0, "x").status().code() == write);
 }
 
-// Guards against the daemons overloading the platform unnoticed: waiting watches are calls too.
+// Guards against a stand-in that lets daemons exceed the platform's rate unnoticed: a waiting watch
+// counts as a call too.
 TEST_CASE("the rate budget counts calls and waiting watches", "[platform]")
 {
     standins::rate_window window;
@@ -296,23 +300,26 @@
 {
     platform_standin standin;
     const auto api = makeHttpObjectApi(standin.address(), timeout);
-    CHECK(control(standin.address(), "POST", "/control/outage?state=on").starts_with("200"));
+    CHECK(sendControlRequest(standin.address(), "POST", "/control/outage?state=on")
+              .starts_with("200"));
     CHECK(absl::IsUnavailable(api.get("a").status()));
-    CHECK(control(standin.address(), "POST", "/control/outage?state=off").starts_with("200"));
-    CHECK(control(standin.address(), "POST", "/control/drop-answers?count=1").starts_with("200"));
+    CHECK(sendControlRequest(standin.address(), "POST", "/control/outage?state=off")
+              .starts_with("200"));
+    CHECK(sendControlRequest(standin.address(), "POST", "/control/drop-answers?count=1")
+              .starts_with("200"));
     CHECK(absl::IsUnknown(api.put("a", 0, "x").status()));
-    CHECK(control(standin.address(), "POST", "/control/compact").starts_with("200"));
+    CHECK(sendControlRequest(standin.address(), "POST", "/control/compact").starts_with("200"));
     CHECK(absl::IsOutOfRange(api.watch("", 0, milliseconds(0)).status()));
-    CHECK(control(standin.address(), "POST", "/control/delay?ms=1").starts_with("200"));
-    CHECK(control(standin.address(), "POST", "/control/nonsense").starts_with("400"));
-    CHECK(
-        control(standin.address(), "POST", "/control/budget?reads=0&writes=9").starts_with("200"));
+    CHECK(sendControlRequest(standin.address(), "POST", "/control/delay?ms=1").starts_with("200"));
+    CHECK(sendControlRequest(standin.address(), "POST", "/control/nonsense").starts_with("400"));
+    CHECK(sendControlRequest(standin.address(), "POST", "/control/budget?reads=0&writes=9")
+              .starts_with("200"));
     CHECK(absl::IsResourceExhausted(api.get("a").status()));
-    CHECK(control(standin.address(), "GET", "/control/calls")
+    CHECK(sendControlRequest(standin.address(), "GET", "/control/calls")
           == R"(200 {"reads":3,"refused":1,"waiting_watches":0,"writes":1})");
 }
 
-// Guards against two threads reading each other's answers on a shared connection.
+// Guards against two threads that receive each other's responses on a shared connection.
 TEST_CASE("one client serves several threads", "[platform]")
 {
     platform_standin standin("127.0.0.1:0", {1'000'000, 1'000'000});
