--- a/model/ownership_symmetry.pml
+++ b/model/ownership_symmetry.pml
@@ -1,12 +1,14 @@
 /* Symmetry reduction. Witnesses that have the same role are interchangeable: all witnesses if there
  * is no spare, otherwise witnesses 0 and 1, because the spare may replace witness 2. SORT_WITNESSES
- * sorts them by their state, so that Spin explores one state of each set of permutations. The sets
- * of witnesses in records and acknowledgements are permuted in the same way. */
+ * sorts them by their state, so that of all states that differ only by a permutation of these
+ * witnesses Spin mostly explores one. The sets of witnesses in records and acknowledgements are
+ * permuted in the same way. */
 
-/* The state of witness w as a number: the version, term, holder and lease have 3 bits each, and the
- * acknowledgements of each instance have 5 bits (mask BOTH_INCARNATIONS). The key leaves out
- * witness_uptime; witnesses with equal keys keep their order, which is correct but may explore more
- * states. */
+/* The state of witness w as a sort key: 1 bit each for incarnation and released, 3 bits each for
+ * version, term, holder and lease, and 5 bits for the acknowledgements of each instance (mask
+ * BOTH_INCARNATIONS). Versions, terms, holders and leases must therefore be at most 7. The sort key
+ * leaves out witness_uptime. Witnesses with equal sort keys keep their order; this is sound, but
+ * Spin may explore more states. */
 #define SORT_KEY(w) (witness_incarnation[w] | (witness_released[w] << 1) | \
     (witness_version[w] << 2) | (witness_term[w] << 5) | (witness_holder[w] << 8) | \
     (witness_lease_left[w] << 11) | (((acks[0] >> w) & BOTH_INCARNATIONS) << 14) | \
@@ -26,9 +28,10 @@
         (((set >> a) & BOTH_INCARNATIONS) << b) | (((set >> b) & BOTH_INCARNATIONS) << a);
 #define SWAP_SETS(version, a, b) \
     SWAP_BITS(record_witnesses[version], a, b) SWAP_BITS(previous_witnesses[version], a, b)
-/* Swaps witnesses a and b in all records that may be written and in the pending write. Version 1
- * names all interchangeable witnesses, so a swap does not change it; nor do swaps change any
- * version in FAILOVER, where the sets of witnesses stay the same. */
+/* Swaps witnesses a and b in all versions of the record after version 1, and in the pending write.
+ * Version 1 names all interchangeable witnesses, so a swap does not change it. In FAILOVER no
+ * version changes, because all versions have the same set of witnesses. SWAP_RECORDS is defined for
+ * a MAX_VERSION of 2 to 4 only. */
 #ifdef FAILOVER
 #define SWAP_RECORDS(a, b)
 #else
--- a/src/persimmonrail/admission/admission_queue.cpp
+++ b/src/persimmonrail/admission/admission_queue.cpp
@@ -6,7 +6,8 @@
 namespace persimmonrail {
 namespace {
 
-// Time constant of the decay of used slot time, over which the shares of the ranks are measured.
+// Time constant of the exponential decay of rank_state::recentSlotTime. The shares of the ranks are
+// measured over this time.
 constexpr double usageDecaySeconds = 1;
 // A rank without demand accumulates the slot time of its floor over at most this time. With more
 // credit, a burst of the rank would delay more urgent requests.
@@ -16,8 +17,8 @@
 // Smallest share of the slots that is assumed when the expected wait is computed.
 constexpr double minShare = 0.01;
 // A request whose remaining time is below this multiple of the mean service time is rejected when
-// its turn comes.
-constexpr double minServiceTimeRatio = 0.5;
+// its turn comes, unless the rank has no running request (see submit()).
+constexpr double minRemainingTimeRatio = 0.5;
 // A missed deadline indicates overload only if the request ran for more than this multiple of the
 // mean service time. Shorter deadlines can be missed by an upstream that is not overloaded.
 constexpr double attainableDeadlineRatio = 3;
@@ -28,15 +29,15 @@
 }
 
 // Returns whether the end of a request indicates that the upstream cannot run as many requests at
-// a time as the limit allows. `seconds` is the latency; both times are in seconds.
-bool indicatesOverload(request_outcome outcome, std::string_view reason, double seconds,
+// a time as the limit allows. Both times are in seconds.
+bool indicatesOverload(request_outcome outcome, std::string_view reason, double latencySeconds,
                        double meanServiceTime)
 {
     if (outcome == request_outcome::NotRun) {
         return reason == "shed";
     }
     if (reason == "deadline-exceeded") {
-        return seconds > attainableDeadlineRatio * meanServiceTime;
+        return latencySeconds > attainableDeadlineRatio * meanServiceTime;
     }
     return outcome == request_outcome::Unknown
         && (reason == "no-answer" || reason == "silent-connection");
@@ -98,22 +99,22 @@
     m_lastUpdate = std::max(m_lastUpdate, now);
     const double limit = m_limit.current();
     const double decay = std::exp(-passed / usageDecaySeconds);
-    for (rank_state &rank : m_ranks) {
-        rank.floorCredit = std::min(rank.floorCredit + rank.floor * limit * passed,
-                                    rank.floor * limit * maxFloorCreditSeconds);
-        rank.recentSlotTime *= decay;
+    for (rank_state &state : m_ranks) {
+        state.floorCredit = std::min(state.floorCredit + state.floor * limit * passed,
+                                     state.floor * limit * maxFloorCreditSeconds);
+        state.recentSlotTime *= decay;
     }
 }
 
-// Returns the share of the slot time, from 0 to 1, that a rank gets while its requests wait: the
-// part that is left by more urgent ranks and by the floors of less urgent ranks, but at least the
-// floor of the rank itself.
+// Returns the share of the slot time, from 0 to 1, that a rank gets while its requests wait: what
+// more urgent ranks have not used, less the part of their floors that less urgent ranks have used.
+// At least the floor of the rank itself and minShare.
 double admission_queue::availableShare(size_t rank) const
 {
-    const double available = m_limit.current() * usageDecaySeconds;
+    const double slotSecondsPerDecay = m_limit.current() * usageDecaySeconds;
     double share = 1;
     for (size_t i = 0; i < m_ranks.size(); ++i) {
-        const double used = m_ranks[i].recentSlotTime / available;
+        const double used = m_ranks[i].recentSlotTime / slotSecondsPerDecay;
         if (i < rank) {
             share -= used;
         } else if (i > rank) {
@@ -127,11 +128,12 @@
 double admission_queue::expectedWait(size_t rank) const
 {
     const int limit = m_limit.current();
-    if (running() < limit && m_ranks[rank].waiting == 0) {
+    if (runningCount() < limit && m_ranks[rank].waiting == 0) {
         return 0;
     }
-    const double ahead = static_cast<double>(m_ranks[rank].waiting) + 1;
-    return ahead * m_ranks[rank].meanServiceTime / (limit * availableShare(rank));
+    // The waiting requests and the new one each need a slot to become free.
+    const double slotsNeeded = static_cast<double>(m_ranks[rank].waiting) + 1;
+    return slotsNeeded * m_ranks[rank].meanServiceTime / (limit * availableShare(rank));
 }
 
 queue_rejection admission_queue::makeRejection(std::string reason, size_t rank) const
@@ -153,10 +155,11 @@
     updateUsage(now);
     rank = std::min(rank, m_ranks.size() - 1);
     rank_state &state = m_ranks[rank];
-    // An idle rank always accepts one request. Otherwise a mean service time that exceeds the
-    // deadlines of the rank would reject all of its requests and would never be measured again.
-    const bool isIdle = state.running == 0 && state.waiting == 0 && deadline > now;
-    if (!isIdle && expectedWait(rank) + state.meanServiceTime > toSeconds(deadline - now)) {
+    // An idle rank accepts one request whose deadline has not passed, whatever the mean service
+    // time. Otherwise, if the mean exceeded the time left to the deadlines of the rank, all of its
+    // requests would be rejected and the mean would never be measured again.
+    const bool skipsEstimate = state.running == 0 && state.waiting == 0 && deadline > now;
+    if (!skipsEstimate && expectedWait(rank) + state.meanServiceTime > toSeconds(deadline - now)) {
         return makeRejection("deadline-unreachable", rank);
     }
     if (state.waiting >= maxWaiting() && !evictFromLongestQueue(state, subsidiary)) {
@@ -175,34 +178,35 @@
     return m_nextId++;
 }
 
-// Evicts the newest request of the subsidiary with the most waiting requests, to free a place in a
-// full queue for `subsidiary`. Returns false, without an eviction, unless that subsidiary has
+// Evicts the newest request of the subsidiary with the most waiting requests, to make room for a
+// request of `subsidiary` in the full queue. Returns false and evicts nothing if no subsidiary has
 // at least two more waiting requests than `subsidiary`.
-bool admission_queue::evictFromLongestQueue(rank_state &rank, std::string_view subsidiary)
+bool admission_queue::evictFromLongestQueue(rank_state &state, std::string_view subsidiary)
 {
-    const auto own = rank.subsidiaries.find(subsidiary);
-    const size_t ownCount = own == rank.subsidiaries.end() ? 0 : own->second.requests.size();
+    const auto own = state.subsidiaries.find(subsidiary);
+    const size_t ownCount = own == state.subsidiaries.end() ? 0 : own->second.requests.size();
     const auto longest = std::max_element(
-        rank.subsidiaries.begin(), rank.subsidiaries.end(), [](const auto &a, const auto &b) {
+        state.subsidiaries.begin(), state.subsidiaries.end(), [](const auto &a, const auto &b) {
             return a.second.requests.size() < b.second.requests.size();
         });
-    if (longest == rank.subsidiaries.end() || longest->second.requests.size() <= ownCount + 1) {
+    if (longest == state.subsidiaries.end() || longest->second.requests.size() <= ownCount + 1) {
         return false;
     }
-    const auto index = static_cast<size_t>(&rank - m_ranks.data());
-    m_evicted.push_back({longest->second.requests.back().id, makeRejection("overload", index)});
+    const auto rank = static_cast<size_t>(&state - m_ranks.data());
+    m_evicted.push_back({longest->second.requests.back().id, makeRejection("overload", rank)});
     longest->second.requests.pop_back();
-    --rank.waiting;
+    --state.waiting;
     return true;
 }
 
-// Removes the subsidiaries without waiting requests once the rank tracks the maximum number.
-void admission_queue::removeIdleSubsidiaries(rank_state &rank)
+// Removes all subsidiaries without waiting requests if the rank tracks maxTrackedSubsidiaries or
+// more.
+void admission_queue::removeIdleSubsidiaries(rank_state &state)
 {
-    if (rank.subsidiaries.size() < m_options.maxIdleSubsidiaries) {
+    if (state.subsidiaries.size() < m_options.maxTrackedSubsidiaries) {
         return;
     }
-    std::erase_if(rank.subsidiaries,
+    std::erase_if(state.subsidiaries,
                   [](const auto &entry) { return entry.second.requests.empty(); });
 }
 
@@ -225,12 +229,12 @@
 }
 
 // Returns the subsidiary with the earliest virtual start time among those with waiting requests.
-admission_queue::subsidiary_iterator admission_queue::chooseSubsidiary(rank_state &rank) const
+admission_queue::subsidiary_iterator admission_queue::chooseSubsidiary(rank_state &state) const
 {
-    auto chosen = rank.subsidiaries.end();
-    for (auto it = rank.subsidiaries.begin(); it != rank.subsidiaries.end(); ++it) {
+    auto chosen = state.subsidiaries.end();
+    for (auto it = state.subsidiaries.begin(); it != state.subsidiaries.end(); ++it) {
         if (!it->second.requests.empty()
-            && (chosen == rank.subsidiaries.end()
+            && (chosen == state.subsidiaries.end()
                 || it->second.virtualStartTime < chosen->second.virtualStartTime)) {
             chosen = it;
         }
@@ -243,21 +247,24 @@
     updateUsage(now);
     std::vector<queue_decision> decisions;
     decisions.swap(m_evicted);
-    while (running() < m_limit.current()) {
-        const auto index = chooseRank();
-        if (!index) {
+    while (runningCount() < m_limit.current()) {
+        const auto rank = chooseRank();
+        if (!rank) {
             break;
         }
-        rank_state &rank = m_ranks[*index];
-        subsidiary_queue &queue = chooseSubsidiary(rank)->second;
+        rank_state &state = m_ranks[*rank];
+        subsidiary_queue &queue = chooseSubsidiary(state)->second;
         const waiting_request request = queue.requests.front();
         queue.requests.pop_front();
-        --rank.waiting;
-        const double needed = rank.running > 0 ? minServiceTimeRatio * rank.meanServiceTime : 0;
-        if (toSeconds(request.deadline - now) < needed) {
-            decisions.push_back({request.id, makeRejection("deadline-unreachable", *index)});
+        --state.waiting;
+        // The only request of a rank measures its service time, so it starts unless its deadline
+        // has passed.
+        const double neededSeconds =
+            state.running > 0 ? minRemainingTimeRatio * state.meanServiceTime : 0;
+        if (toSeconds(request.deadline - now) < neededSeconds) {
+            decisions.push_back({request.id, makeRejection("deadline-unreachable", *rank)});
         } else {
-            startRequest(*index, queue, request.id);
+            startRequest(*rank, queue, request.id);
             decisions.push_back({request.id, std::nullopt});
         }
     }
@@ -276,22 +283,23 @@
 }
 
 // Charges slot time to a rank. Negative values correct an earlier charge that was too high.
-void admission_queue::chargeSlotTime(rank_state &rank, double seconds) const
+void admission_queue::chargeSlotTime(rank_state &state, double seconds) const
 {
-    const double available = m_limit.current() * usageDecaySeconds;
-    // The debt of a rank that used more than its floor is limited to the floor of one decay period,
-    // so that the rank soon gets its floor again.
-    rank.floorCredit = std::max(rank.floorCredit - seconds, -rank.floor * available);
-    rank.recentSlotTime = std::clamp(rank.recentSlotTime + seconds, 0.0, available);
+    const double slotSecondsPerDecay = m_limit.current() * usageDecaySeconds;
+    // Limits how far floorCredit falls below 0, to the slot time that the floor guarantees in
+    // usageDecaySeconds. A rank that used much more than its floor thus soon gets its guaranteed
+    // share again.
+    state.floorCredit = std::max(state.floorCredit - seconds, -state.floor * slotSecondsPerDecay);
+    state.recentSlotTime = std::clamp(state.recentSlotTime + seconds, 0.0, slotSecondsPerDecay);
 }
 
 void admission_queue::cancel(uint64_t id)
 {
-    for (rank_state &rank : m_ranks) {
-        for (auto &[name, queue] : rank.subsidiaries) {
+    for (rank_state &state : m_ranks) {
+        for (auto &[name, queue] : state.subsidiaries) {
             const auto removed = std::erase_if(
                 queue.requests, [id](const waiting_request &request) { return request.id == id; });
-            rank.waiting -= removed;
+            state.waiting -= removed;
         }
     }
 }
@@ -306,15 +314,15 @@
     }
     const running_request request = found->second;
     m_running.erase(found);
-    rank_state &rank = m_ranks[request.rank];
-    const double seconds = toSeconds(latency);
+    rank_state &state = m_ranks[request.rank];
+    const double latencySeconds = toSeconds(latency);
     // The mean service time was charged at the start.
-    chargeSlotTime(rank, seconds - request.chargedSeconds);
-    --rank.running;
+    chargeSlotTime(state, latencySeconds - request.chargedSeconds);
+    --state.running;
     if (outcome == request_outcome::Run) {
-        rank.meanServiceTime += (seconds - rank.meanServiceTime) * serviceTimeWeight;
+        state.meanServiceTime += (latencySeconds - state.meanServiceTime) * serviceTimeWeight;
         m_limit.recordResponse(request.rank, latency, now);
-    } else if (indicatesOverload(outcome, reason, seconds, rank.meanServiceTime)) {
+    } else if (indicatesOverload(outcome, reason, latencySeconds, state.meanServiceTime)) {
         m_limit.recordOverload(now);
     }
 }
--- a/src/persimmonrail/admission/admission_queue.h
+++ b/src/persimmonrail/admission/admission_queue.h
@@ -22,9 +22,9 @@
     int maxWaitingPerSlot = 4;
     // Initial value of the moving average of the service time of a rank.
     milliseconds initialServiceTime{5};
-    // When a rank tracks this many subsidiaries and a new one arrives, the slot time of all
-    // subsidiaries without waiting requests is discarded.
-    size_t maxIdleSubsidiaries = 256;
+    // When a rank tracks this many subsidiaries and a request of another one arrives, the rank
+    // forgets all subsidiaries that have no waiting requests.
+    size_t maxTrackedSubsidiaries = 256;
 };
 
 // The reason why a request is rejected. A rejected request did not run.
@@ -32,8 +32,7 @@
 {
     // "overload" (the queue is full) or "deadline-unreachable".
     std::string reason;
-    // Expected time until the requests of the same rank that wait now have been served; at least
-    // 1 ms.
+    // Expected time until a request of the same rank that arrived now would start; at least 1 ms.
     milliseconds retryAfter{0};
 };
 
@@ -44,19 +43,20 @@
     std::optional<queue_rejection> rejection;
 };
 
-// Decides which requests use the slots of one upstream.
+// Decides which requests use the slots of one upstream. A slot is the capacity to run one request
+// at a time. The slot time of a request is the time for which it occupies a slot.
 //
 // A free slot goes to the most urgent rank that has waiting requests and has used less slot time
 // than its floor guarantees. If there is no such rank, the slot goes to the most urgent rank with
-// waiting requests. Within a rank, subsidiaries share the slot time equally. A request that cannot
-// meet its deadline is rejected on arrival or when its turn comes. Each queue is bounded. The class
-// reads no clock and starts no threads; callers pass the time. The class is not
-// thread-safe.
+// waiting requests. Within a rank, subsidiaries share the slot time equally. A request that is
+// not expected to meet its deadline is rejected on arrival or when its turn comes, unless the rank
+// is idle. The number of waiting requests of each rank is bounded. The class reads no clock and
+// starts no threads; callers pass the time. Not thread safe.
 class admission_queue
 {
 public:
     // `floors` holds the guaranteed minimum share of the slot time of each rank, from 0 to 1, the
-    // most urgent rank first. The list must not be empty.
+    // most urgent rank first. An empty list counts as one rank with the floor 0.
     admission_queue(const admission_options &options, const std::vector<double> &floors, int slots,
                     steady_time now);
 
@@ -68,24 +68,25 @@
     void onUpstreamRestart(steady_time now);
 
     // Enqueues a request and returns its id, or returns a rejection. poll() decides on enqueued
-    // requests. A `rank` beyond the last rank counts as the last. `subsidiary` may be empty.
+    // requests. A `rank` beyond the last rank counts as the last. Requests with an
+    // empty `subsidiary` count as those of one subsidiary.
     std::variant<uint64_t, queue_rejection> submit(size_t rank, std::string_view subsidiary,
                                                    steady_time deadline, steady_time now);
     // Starts waiting requests while the concurrency limit allows it. Returns the decisions made
     // since the last call, including rejections of requests that submit() evicted. Call after each
-    // submit(), finish() and cancel().
+    // submit() and finish().
     std::vector<queue_decision> poll(steady_time now);
     // Removes a waiting request. Does nothing if the request has started or is unknown.
     void cancel(uint64_t id);
-    // Releases the slot of a started request. `reason` is the reason word that upstream_client
-    // reports; `latency` is the time from dispatch to the end. Does nothing if the request is not
-    // running.
+    // Releases the slot of a started request. `reason` is dispatch_result::reason of
+    // upstream_client; `latency` is the time from the dispatch of the request to its end. Does
+    // nothing if the request is not running.
     void finish(uint64_t id, request_outcome outcome, std::string_view reason,
                 std::chrono::nanoseconds latency, steady_time now);
 
-    int limit() const { return m_limit.current(); }
-    int running() const { return static_cast<int>(m_running.size()); }
-    size_t waiting(size_t rank) const { return m_ranks[rank].waiting; }
+    int concurrencyLimit() const { return m_limit.current(); }
+    int runningCount() const { return static_cast<int>(m_running.size()); }
+    size_t waitingCount(size_t rank) const { return m_ranks[rank].waiting; }
 
 private:
     struct waiting_request
@@ -96,8 +97,8 @@
     struct subsidiary_queue
     {
         std::deque<waiting_request> requests;
-        // Virtual time at which the next request starts, in seconds. The subsidiary with the
-        // earliest start time is served first. Each started request advances the start time of its
+        // Start tag of start-time fair queueing, in seconds of slot time: the subsidiary with the
+        // smallest tag is served first, and each started request increases the tag of its
         // subsidiary by the mean service time.
         double virtualStartTime = 0;
     };
@@ -109,10 +110,12 @@
         double floorCredit = 0;
         // Exponentially weighted moving average of the service time, in seconds.
         double meanServiceTime = 0;
-        // Slot time used, in seconds, with exponential decay (time constant of 1 s).
+        // Slot time used, in seconds, with exponential decay (time constant
+        // usageDecaySeconds).
         double recentSlotTime = 0;
-        // Latest virtual start time of a started request. Subsidiaries without demand do not fall
-        // behind this time, so that they accumulate no claim to slots.
+        // Latest virtual start time of a started request. When a request arrives, the virtual
+        // start time of its subsidiary is raised at least to this time, so that the subsidiary gets
+        // no extra slot time for the time in which it had no requests.
         double virtualTime = 0;
         size_t waiting = 0;
         size_t running = 0;
@@ -131,12 +134,12 @@
     double expectedWait(size_t rank) const;
     queue_rejection makeRejection(std::string reason, size_t rank) const;
     size_t maxWaiting() const;
-    bool evictFromLongestQueue(rank_state &rank, std::string_view subsidiary);
+    bool evictFromLongestQueue(rank_state &state, std::string_view subsidiary);
     std::optional<size_t> chooseRank() const;
-    subsidiary_iterator chooseSubsidiary(rank_state &rank) const;
+    subsidiary_iterator chooseSubsidiary(rank_state &state) const;
     void startRequest(size_t rank, subsidiary_queue &from, uint64_t id);
-    void chargeSlotTime(rank_state &rank, double seconds) const;
-    void removeIdleSubsidiaries(rank_state &rank);
+    void chargeSlotTime(rank_state &state, double seconds) const;
+    void removeIdleSubsidiaries(rank_state &state);
 
     const admission_options m_options;
     concurrency_limit m_limit;
--- a/src/persimmonrail/admission/rank_admission.cpp
+++ b/src/persimmonrail/admission/rank_admission.cpp
@@ -179,13 +179,13 @@
 int rank_admission::limit() const
 {
     const std::lock_guard lock(m_state->mutex);
-    return m_state->queue ? m_state->queue->limit() : 0;
+    return m_state->queue ? m_state->queue->concurrencyLimit() : 0;
 }
 
 int rank_admission::running() const
 {
     const std::lock_guard lock(m_state->mutex);
-    return m_state->queue ? m_state->queue->running() : 0;
+    return m_state->queue ? m_state->queue->runningCount() : 0;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/admission/tests/admission_queue_test.cpp
+++ b/src/persimmonrail/admission/tests/admission_queue_test.cpp
@@ -228,12 +228,12 @@
         for (int i = 0; i < 100; ++i) {
             submit(queue, 1);
         }
-        CHECK(queue.waiting(1) == bound);
+        CHECK(queue.waitingCount(1) == bound);
         CHECK(rejectionOf(queue.submit(1, "", start + 10s, start)).reason == "overload");
         CHECK(submit(queue, 0) != 0);
         const uint64_t last = submit(queue, 0);
         queue.cancel(last);
-        CHECK(queue.waiting(0) == 1);
+        CHECK(queue.waitingCount(0) == 1);
     }
 }
 
@@ -251,7 +251,7 @@
     {
         subsidiaryOf[submit(queue, 0, "quiet")] = "quiet";
         subsidiaryOf[submit(queue, 0, "quiet")] = "quiet";
-        CHECK(queue.waiting(0) == 4);
+        CHECK(queue.waitingCount(0) == 4);
         CHECK(submit(queue, 0, "quiet") == 0);
         CHECK(submit(queue, 0, "flooding") == 0);
         const auto evicted = queue.poll(start);
@@ -281,6 +281,6 @@
     busy_slot slot(queue);
     const uint64_t waiting = submit(queue, 2, "a");
     queue.setFloors({0.5, 0.1});
-    CHECK(queue.waiting(1) == 1);
+    CHECK(queue.waitingCount(1) == 1);
     CHECK(slot.next() == waiting);
 }
--- a/src/persimmonrail/admission/tests/concurrency_limit_test.cpp
+++ b/src/persimmonrail/admission/tests/concurrency_limit_test.cpp
@@ -145,7 +145,7 @@
         const auto id = std::get<uint64_t>(queue.submit(0, "", start + 10s, start));
         queue.poll(start);
         queue.finish(id, row.outcome, row.reason, row.latency, start);
-        CHECK((queue.limit() < 10) == row.decreasesLimit);
+        CHECK((queue.concurrencyLimit() < 10) == row.decreasesLimit);
     }
 }
 
--- a/src/persimmonrail/balance/coordinator.cpp
+++ b/src/persimmonrail/balance/coordinator.cpp
@@ -149,17 +149,17 @@
     return result;
 }
 
-void coordinator::recordResponse(const instance_id &member, steady_time now)
+void coordinator::recordReply(const instance_id &member, steady_time now)
 {
-    m_fleetElection.recordResponse(member.name, now);
+    m_fleetElection.recordReply(member.name, now);
     if (m_serviceElection) {
-        m_serviceElection->recordResponse(member.name, now);
+        m_serviceElection->recordReply(member.name, now);
     }
     const auto entry = m_memberStates.find(member);
     if (entry != m_memberStates.end()) {
         entry->second.lastAliveAt = now;
         entry->second.hasReplied = true;
-        entry->second.confirmationRequests = 0;
+        entry->second.probeCount = 0;
         entry->second.unresponsiveConfirmedAt.reset();
     }
 }
@@ -187,7 +187,7 @@
         return;
     }
     updatePlacement(now);
-    acceptDocuments(now);
+    evaluateDocuments(now);
     checkUnresponsiveMembers(now);
 }
 
@@ -264,7 +264,7 @@
     }
 }
 
-void coordinator::acceptDocuments(steady_time now)
+void coordinator::evaluateDocuments(steady_time now)
 {
     if (!m_hooks.unevaluatedDocuments) {
         return;
@@ -277,13 +277,13 @@
         if (service.empty() || !isCoordinatorOf(service, now)) {
             continue;
         }
-        auto &pending = m_pendingAcceptances[service];
+        auto &pending = m_pendingEvaluations[service];
         if (pending.version == config.version
             && now - pending.startedAt < coordinatorRetryInterval) {
             continue;
         }
         pending = {config.version, false, now};
-        m_hooks.acceptDocument(service, config);
+        m_hooks.evaluateDocument(service, config);
     }
 }
 
@@ -293,27 +293,27 @@
         const auto entry = m_memberStates.find(member->id);
         if (entry != m_memberStates.end()
             && now - entry->second.lastAliveAt >= memberRemovalTimeout) {
-            confirmOrRemove(*member, entry->second, now);
+            removeOrProbe(*member, entry->second, now);
         }
     }
 }
 
-void coordinator::confirmOrRemove(const member_record &member, member_state &state, steady_time now)
+void coordinator::removeOrProbe(const member_record &member, member_state &state, steady_time now)
 {
     if (state.unresponsiveConfirmedAt
         && now - *state.unresponsiveConfirmedAt < maxConfirmationAge) {
-        if (now - state.lastRemovalAt >= coordinatorRetryInterval) {
-            state.lastRemovalAt = now;
+        if (now - state.lastRemovalAttemptAt >= coordinatorRetryInterval) {
+            state.lastRemovalAttemptAt = now;
             m_hooks.removeMember(member);
         }
         return;
     }
-    if (now - state.lastConfirmationRequestAt < coordinatorRetryInterval) {
+    if (now - state.lastProbeAt < coordinatorRetryInterval) {
         return;
     }
-    if (const auto *helper = chooseHelper(member, state.confirmationRequests)) {
-        state.lastConfirmationRequestAt = now;
-        ++state.confirmationRequests;
+    if (const auto *helper = chooseHelper(member, state.probeCount)) {
+        state.lastProbeAt = now;
+        ++state.probeCount;
         m_hooks.requestProbe(*helper, member);
     }
 }
--- a/src/persimmonrail/balance/coordinator.h
+++ b/src/persimmonrail/balance/coordinator.h
@@ -22,30 +22,35 @@
 inline constexpr milliseconds pingIntervalPerMember{10};
 inline constexpr milliseconds minMemberPingInterval{1000};
 inline constexpr milliseconds maxMemberPingInterval{10000};
-// A member that has not replied to a ping within this time receives no partitions. A failover takes
-// a little over 1 s and leaves an imbalance, which must not be removed by moves back to a member
-// that is paused. If a member is wrongly considered unresponsive, only its placement is delayed.
+// Time allowed for the reply to a ping. A member without a reply for a ping interval plus this time
+// receives no partitions. A failover takes a little over 1 s and leaves an imbalance, and the
+// coordinator must not correct it by moving partitions back to a member that failed because it is
+// paused. If a responsive member is wrongly considered unresponsive, only the assignment of
+// partitions to it is delayed.
 inline constexpr milliseconds pingReplyTimeout{500};
-// The partitions of a service without records are placed once the service's members have not
-// changed for this time. Instances that start together then share the first placement without
+// The partitions of a service without placement records are placed once the service's members have
+// not changed for this time. Instances that start together then share the first placement without
 // moves.
 inline constexpr std::chrono::seconds initialPlacementDelay{2};
 // Minimum interval between load-driven plans for one service. The observed request rates need this
 // time to show the effect of the last move.
 inline constexpr std::chrono::seconds minLoadPlanInterval{30};
-// A record write, document acceptance, confirmation request or member removal without visible
-// effect is repeated after this time.
+// A write of a placement record, evaluation of a document, probe or member removal is repeated
+// after this time if its effect is not visible: the write in the view, the evaluation in the
+// result of unevaluatedDocuments(). A probe or a removal is repeated if the member is still
+// monitored and unresponsive.
 inline constexpr std::chrono::seconds coordinatorRetryInterval{5};
 
-// Coordinates a service: places its partitions, accepts its documents and removes its failed
-// members. Every daemon runs a coordinator. The coordinator acts for the service of the local
-// upstream while its daemon has the highest rendezvous rank among the responsive members of the
+// Coordinates a service: places its partitions, evaluates new service documents and removes failed
+// members. A member is a daemon, with its upstream if it has one, that has published a member
+// record. Every daemon runs a coordinator. The coordinator acts for the service of the local
+// upstream while its daemon comes first in rendezvous order among the responsive members of the
 // service. A second election among all members chooses the coordinator for services without members
 // and for daemons without an upstream. If two daemons both act as coordinator, their writes may
 // conflict but do no harm, since all writes are conditional.
 //
-// Reads no clock and has no side effects other than its hooks. To be used on the control thread
-// only.
+// A coordinator reads no clock and has no side effects other than calls of its hooks. Not thread
+// safe; used on the control thread only.
 class coordinator
 {
 public:
@@ -53,12 +58,14 @@
     struct hooks
     {
         placement_hooks placement;
-        // Starts the conditional write of a record. The result becomes visible in a later view.
+        // Starts the conditional write of a placement record. The result becomes visible in a later
+        // view.
         std::function<void(const record_change &change)> writeRecord;
         // Returns the "config/<service>" objects whose version has not been evaluated yet.
         std::function<std::vector<stored_object>()> unevaluatedDocuments;
         // Evaluates the document and writes "accepted/<service>" and "status/<service>".
-        std::function<void(const std::string &service, const stored_object &config)> acceptDocument;
+        std::function<void(const std::string &service, const stored_object &config)>
+            evaluateDocument;
         // Asks `helper` to ping `suspect`. The result is passed to recordProbeResult().
         std::function<void(const member_record &helper, const member_record &suspect)> requestProbe;
         // Deletes the member's object if the object still names this incarnation.
@@ -73,17 +80,17 @@
     // owners of the partitions.
     void setRequestRates(std::map<std::string, double, std::less<>> requestRates);
 
-    // Returns the members to be pinged now and records the pings as sent. To be called about every
-    // 250 ms.
+    // Returns the members to be pinged now and records the pings as sent. To be called every
+    // memberPingInterval of the daemon (250 ms), well below minMemberPingInterval.
     std::vector<member_record> takeDuePings(steady_time now);
     // Records that a member replied to a ping.
-    void recordResponse(const instance_id &member, steady_time now);
+    void recordReply(const instance_id &member, steady_time now);
     // Records whether `suspect` replied to a ping of `helper`. A result from the suspect or from
     // this daemon is ignored.
     void recordProbeResult(const instance_id &helper, const instance_id &suspect, bool hasReplied,
                            steady_time now);
 
-    // Performs the work that is due: placement, acceptance of documents and removal of failed
+    // Performs the work that is due: placement, evaluation of documents and removal of failed
     // members. To be called about once a second.
     void tick(steady_time now);
 
@@ -101,18 +108,19 @@
         // to a helper, or the time at which this daemon began to ping the member.
         steady_time lastAliveAt{};
         bool hasReplied = false;
-        steady_time lastConfirmationRequestAt{};
-        // Number of confirmation requests to helpers since the last reply to this daemon.
-        size_t confirmationRequests = 0;
+        steady_time lastProbeAt{};
+        // Number of probes requested of helpers since the last reply to this daemon.
+        size_t probeCount = 0;
         // Time at which a helper last reported that the member does not reply; unset if the member
         // has replied to this daemon or to a helper since.
         std::optional<steady_time> unresponsiveConfirmedAt;
-        steady_time lastRemovalAt{};
+        steady_time lastRemovalAttemptAt{};
     };
-    // A record write or a document acceptance whose effect is not visible yet.
+    // A write of a placement record or an evaluation of a document whose effect is not visible yet.
     struct pending_write
     {
-        // Version of the record that the write expects, or of the document to be accepted.
+        // Version of the placement record that the write expects, or of the document to be
+        // evaluated.
         uint64_t version = 0;
         // Whether the write plans a move of a partition.
         bool isMove = false;
@@ -132,17 +140,18 @@
     // Plans the changes that the service's placement needs and starts the writes.
     void updatePlacement(steady_time now);
     placement_options placementOptions(steady_time now) const;
-    // Starts the acceptance of new documents of the services that this daemon coordinates.
-    void acceptDocuments(steady_time now);
-    // Handles all members that have not replied for memberRemovalTimeout.
+    // Starts the evaluation of new documents of the services that this daemon coordinates.
+    void evaluateDocuments(steady_time now);
+    // Calls removeOrProbe() for each monitored member that was last known to be alive
+    // memberRemovalTimeout ago or earlier.
     void checkUnresponsiveMembers(steady_time now);
     // Removes the member if a helper has confirmed that the member is unresponsive. Otherwise asks
-    // a helper for confirmation.
-    void confirmOrRemove(const member_record &member, member_state &state, steady_time now);
-    // Returns the daemon to be asked for the confirmation number `attempt`, counted from 0, or null
-    // if there is no other daemon. Prefers daemons in other availability zones than this daemon's.
-    // Each daemon is asked twice before the next one is asked: a daemon that replied to the first
-    // request before it had pinged the suspect can then give a reliable result.
+    // a helper to probe the member.
+    void removeOrProbe(const member_record &member, member_state &state, steady_time now);
+    // Returns the helper for attempt number `attempt`, counted from 0, to confirm that `suspect` is
+    // unresponsive, or null if there is no other daemon. Chooses among the daemons outside this
+    // daemon's availability zone, or among those inside it if there are no others. Each daemon is
+    // asked twice before the next one is asked, so that one lost message does not pass over it.
     const member_record *chooseHelper(const member_record &suspect, size_t attempt) const;
 
     instance_id m_self;
@@ -161,10 +170,10 @@
     std::map<instance_id, member_state> m_memberStates;
     // Times of the last election pings, by instance name.
     std::map<std::string, steady_time, std::less<>> m_lastElectionPings;
-    // Record writes, by partition.
+    // Writes of placement records, by partition.
     std::map<std::string, pending_write, std::less<>> m_pendingWrites;
-    // Document acceptances, by service.
-    std::map<std::string, pending_write, std::less<>> m_pendingAcceptances;
+    // Evaluations of documents, by service.
+    std::map<std::string, pending_write, std::less<>> m_pendingEvaluations;
     // Requests per second, by partition.
     std::map<std::string, double, std::less<>> m_requestRates;
     steady_time m_lastLoadPlanAt{};
--- a/src/persimmonrail/balance/tests/coordinator_test.cpp
+++ b/src/persimmonrail/balance/tests/coordinator_test.cpp
@@ -40,7 +40,7 @@
                 for (const auto &target : coordinator.takeDuePings(m_now)) {
                     if (stoppedDaemons.count(target.id.name) + stoppedDaemons.count(name) == 0
                         && brokenLinks.count({name, target.id.name}) == 0) {
-                        coordinator.recordResponse(target.id, m_now);
+                        coordinator.recordReply(target.id, m_now);
                     }
                 }
                 if (stoppedDaemons.count(name) == 0) {
@@ -87,7 +87,7 @@
             m_pending.push_back(change);
         };
         hooks.unevaluatedDocuments = [this] { return unevaluatedDocuments; };
-        hooks.acceptDocument = [this](const std::string &service, const stored_object &) {
+        hooks.evaluateDocument = [this](const std::string &service, const stored_object &) {
             evaluatedServices.push_back(service);
         };
         hooks.requestProbe = [this, self](const member_record &helper,
--- a/src/persimmonrail/base/backoff.h
+++ b/src/persimmonrail/base/backoff.h
@@ -25,7 +25,7 @@
 private:
     milliseconds m_initialDelay;
     milliseconds m_maxDelay;
-    milliseconds m_currentDelay;
+    milliseconds m_maxNextDelay;
     random_source m_random;
 };
 
--- a/src/persimmonrail/base/key_hash.h
+++ b/src/persimmonrail/base/key_hash.h
@@ -23,7 +23,8 @@
 uint64_t keyHash(std::string_view key);
 
 // Returns the weight of `member` for `subject` in rendezvous hashing, which selects the member with
-// the highest weight.
+// the highest weight. `subject` names the role for which a member is chosen, or another purpose of
+// the choice.
 uint64_t rendezvousWeight(std::string_view member, std::string_view subject);
 
 // Returns the hash as 16 hexadecimal digits, as logs, headers and JSON texts contain it.
--- a/src/persimmonrail/base/random_source.h
+++ b/src/persimmonrail/base/random_source.h
@@ -6,8 +6,8 @@
 namespace persimmonrail {
 
 // Returns uniformly distributed 64-bit numbers. Tests pass a generator with a fixed seed. A
-// random_source need not be thread safe: a class that request threads share calls its source while
-// holding the mutex of the class.
+// random_source need not be thread safe: an object that several threads use must call its source
+// only while it holds its own mutex.
 using random_source = std::function<uint64_t()>;
 
 // Returns a random number from 0 to `bound` - 1. `bound` must not be 0.
--- a/src/persimmonrail/base/socket_address.h
+++ b/src/persimmonrail/base/socket_address.h
@@ -8,7 +8,7 @@
 
 namespace persimmonrail {
 
-// Parses "ip:port" or "[ipv6]:port" with a port from 1 to 65535. Host names are rejected, because
+// Parses "ipv4:port" or "[ipv6]:port" with a port from 1 to 65535. Host names are rejected, because
 // name resolution would make a process depend on another system. Errors: InvalidArgument.
 absl::StatusOr<Poco::Net::SocketAddress> parseSocketAddress(std::string_view text);
 
--- a/src/persimmonrail/base/tests/base_test.cpp
+++ b/src/persimmonrail/base/tests/base_test.cpp
@@ -36,13 +36,15 @@
     for (int i = 0; i < partitions * keysPerPartition; ++i) {
         ++counts[keyHash("haul-" + std::to_string(i)) >> 60];
     }
+    // Each partition must have its share of the keys within 10 %.
     for (const int count : counts) {
         CHECK(count > keysPerPartition * 9 / 10);
         CHECK(count < keysPerPartition * 11 / 10);
     }
 }
 
-// Guards against weights that ignore the member or the subject, or the boundary between them.
+// Guards against weights that do not depend on the member or do not depend on the subject (the role
+// for which a member is chosen), and against weights that depend only on the concatenation of both.
 TEST_CASE("rendezvous weights depend on member and subject", "[base]")
 {
     CHECK(rendezvousWeight("a", "x") != rendezvousWeight("b", "x"));
--- a/src/persimmonrail/cli/command_line.cpp
+++ b/src/persimmonrail/cli/command_line.cpp
@@ -213,7 +213,7 @@
     }
     cli_session session{hooks, {}, out, err};
     if (command.usesPlatform) {
-        session.platform = hooks.connect(values.at(platformFlag));
+        session.platform = hooks.makeObjectApi(values.at(platformFlag));
     }
     return command.run(session, operands, values);
 }
--- a/src/persimmonrail/cli/command_line.h
+++ b/src/persimmonrail/cli/command_line.h
@@ -17,7 +17,7 @@
 struct cli_hooks
 {
     // Returns a client of the platform's object API at "ip:port".
-    std::function<object_api(const std::string &platformAddress)> connect;
+    std::function<object_api(const std::string &platformAddress)> makeObjectApi;
     // Returns the body of the response to GET `pathAndQuery` at "ip:port". Any status other than
     // 200 is an error.
     std::function<absl::StatusOr<std::string>(const std::string &address,
--- a/src/persimmonrail/cli/system_hooks.cpp
+++ b/src/persimmonrail/cli/system_hooks.cpp
@@ -12,17 +12,17 @@
 namespace persimmonrail {
 namespace {
 
-// The platform normally responds within milliseconds; a longer timeout would only delay the error
-// of a platform that is down.
+// Timeout of requests to the platform and to daemons, both of which normally respond within
+// milliseconds. A longer timeout would only delay the error message if they are down.
 constexpr milliseconds callTimeout{5'000};
 
 absl::StatusOr<std::string> httpGet(const std::string &address, const std::string &pathAndQuery)
 {
-    const auto parsed = parseSocketAddress(address);
-    if (!parsed.ok()) {
-        return parsed.status();
+    const auto socketAddress = parseSocketAddress(address);
+    if (!socketAddress.ok()) {
+        return socketAddress.status();
     }
-    http_connection_pool pool(*parsed, callTimeout);
+    http_connection_pool pool(*socketAddress, callTimeout);
     auto response = pool.exchange({"GET", pathAndQuery, "", callTimeout, true});
     if (!response.ok()) {
         return response.status();
@@ -37,7 +37,7 @@
 absl::StatusOr<std::string> readFile(const std::string &path)
 {
     std::ifstream file(path, std::ios::binary);
-    // Reading one byte more than a document may have lets the parser reject a larger file.
+    // Reads one byte more than the maximum, so that the parser rejects a larger file.
     std::string text(maxDocumentBytes + 1, '\0');
     file.read(text.data(), static_cast<std::streamsize>(text.size()));
     if (!file.is_open() || file.bad()) {
@@ -52,7 +52,7 @@
 cli_hooks makeCliHooks()
 {
     cli_hooks hooks;
-    hooks.connect = [](const std::string &address) {
+    hooks.makeObjectApi = [](const std::string &address) {
         return makeHttpObjectApi(address, callTimeout);
     };
     hooks.httpGet = httpGet;
--- a/src/persimmonrail/cli/tests/command_line_test.cpp
+++ b/src/persimmonrail/cli/tests/command_line_test.cpp
@@ -42,7 +42,7 @@
         : api(makeHttpObjectApi(standin.address(), timeout))
     {
         hooks = makeCliHooks();
-        hooks.connect = [this](const std::string &) { return api; };
+        hooks.makeObjectApi = [this](const std::string &) { return api; };
         hooks.readFile = [this](const std::string &path) -> absl::StatusOr<std::string> {
             const auto found = files.find(path);
             if (found == files.end()) {
@@ -163,7 +163,7 @@
             f.api.put(key, version, other).IgnoreError();
             return f.api.put(key, version, value);
         };
-        f.hooks.connect = [&](const std::string &) { return racing; };
+        f.hooks.makeObjectApi = [&](const std::string &) { return racing; };
         const auto applied = f.run({"apply", "changed"});
         CHECK(applied.code == cli_exit::Failed);
         checkContains(applied.err, "config/ledger is at version 2, expected version 1");
@@ -217,7 +217,7 @@
             }
             return f.api.put(key, version, value);
         };
-        f.hooks.connect = [&](const std::string &) { return lossy; };
+        f.hooks.makeObjectApi = [&](const std::string &) { return lossy; };
         auto coordinator = f.runCoordinator(1);
         const auto applied = f.run({"apply", "changed"});
         coordinator.get();
@@ -253,7 +253,7 @@
             f.standin.setOutage(true);
             return written;
         };
-        f.hooks.connect = [&](const std::string &) { return failing; };
+        f.hooks.makeObjectApi = [&](const std::string &) { return failing; };
         const auto applied = f.run({"apply", "valid", "--wait-ms=1000"});
         CHECK(applied.code == cli_exit::Failed);
         checkContains(applied.err, "may have been stored");
--- a/src/persimmonrail/daemon/coordinator_driver.cpp
+++ b/src/persimmonrail/daemon/coordinator_driver.cpp
@@ -35,7 +35,7 @@
     };
     hooks.writeRecord = [this](const record_change &change) { writeRecord(change); };
     hooks.unevaluatedDocuments = [this] { return documentsAwaitingDecision(); };
-    hooks.acceptDocument = [this](const std::string &service, const stored_object &config) {
+    hooks.evaluateDocument = [this](const std::string &service, const stored_object &config) {
         evaluateDocument(service, config);
     };
     hooks.requestProbe = [this](const member_record &helper, const member_record &suspect) {
@@ -58,8 +58,7 @@
         m_messenger.send(member.controlAddress, std::move(request), pingTimeout,
                          [this](const absl::StatusOr<wire::Reply> &reply, steady_time receivedAt) {
                              if (reply.ok()) {
-                                 m_coordinator.recordResponse(fromWire(reply->sender()),
-                                                              receivedAt);
+                                 m_coordinator.recordReply(fromWire(reply->sender()), receivedAt);
                              }
                          });
     }
--- a/src/persimmonrail/daemon/sync_driver.cpp
+++ b/src/persimmonrail/daemon/sync_driver.cpp
@@ -130,7 +130,7 @@
                          [this, name = member.id.name](const absl::StatusOr<wire::Reply> &reply,
                                                        steady_time receivedAt) {
                              if (reply.ok()) {
-                                 m_election.recordResponse(name, receivedAt);
+                                 m_election.recordReply(name, receivedAt);
                              }
                          });
     }
--- a/src/persimmonrail/document/service_document.h
+++ b/src/persimmonrail/document/service_document.h
@@ -30,7 +30,7 @@
     std::string name;
     // Latency objective of the rank's requests.
     milliseconds target{0};
-    // Relative value of one answered request, used to compare admission policies.
+    // Relative value of one request that gets a response, used to compare admission policies.
     double worth = 1;
     // Guaranteed minimum share of the upstream's capacity under overload, from 0 to 1.
     double floor = 0;
--- a/src/persimmonrail/gateway/tests/test_fleet.cpp
+++ b/src/persimmonrail/gateway/tests/test_fleet.cpp
@@ -33,15 +33,17 @@
     m_record.record.term = testTerm;
 }
 
-std::shared_ptr<const service_document> test_fleet::document(const std::string &service) const
+std::shared_ptr<const service_document> test_fleet::makeDocument(const std::string &service) const
 {
     auto result = std::make_shared<service_document>();
     result->service = service;
     if (service == "standin") {
+        // Segment 1 of the path after the service name: "/records/<key>".
         result->key = key_rule{key_source::PathSegment, 1, ""};
         result->partitions = 1;
     }
     result->ranks = {{"urgent", milliseconds(10), 1, 0}, {"bulk", milliseconds(100), 1, 0}};
+    // The last field tells whether the operation is repeatable.
     result->operations = {
         {"write", "PUT", "/records", "urgent", m_timeout, true},
         {"read", "GET", "/records", "bulk", m_timeout, true},
@@ -55,8 +57,8 @@
     auto view = std::make_shared<fleet_view>();
     view->revision = 1;
     view->members = m_members;
-    view->documents["standin"] = document("standin");
-    view->documents["photos"] = document("photos");
+    view->documents["standin"] = makeDocument("standin");
+    view->documents["photos"] = makeDocument("photos");
     const auto record = view->records.emplace(m_record.record.partition, m_record).first;
     view->recordsByService["standin"] = {&record->second};
     m_view = std::move(view);
@@ -130,8 +132,8 @@
     session.setTimeout(Poco::Timespan(60, 0));
     Poco::Net::HTTPRequest request(method, uri, Poco::Net::HTTPMessage::HTTP_1_1);
     for (const std::string &field : fields) {
-        const size_t colon = field.find(": ");
-        request.add(field.substr(0, colon), field.substr(colon + 2));
+        const size_t separator = field.find(": ");
+        request.add(field.substr(0, separator), field.substr(separator + 2));
     }
     request.setContentLength(static_cast<std::streamsize>(body.size()));
     caller_response response;
--- a/src/persimmonrail/gateway/tests/test_fleet.h
+++ b/src/persimmonrail/gateway/tests/test_fleet.h
@@ -55,7 +55,7 @@
 private:
     // Makes a new view from the members and the record available to all daemons.
     void publish();
-    std::shared_ptr<const service_document> document(const std::string &service) const;
+    std::shared_ptr<const service_document> makeDocument(const std::string &service) const;
 
     milliseconds m_timeout = testTimeout;
     std::map<std::string, member_record, std::less<>> m_members;
--- a/src/persimmonrail/keyspace/range_lease_manager.h
+++ b/src/persimmonrail/keyspace/range_lease_manager.h
@@ -63,7 +63,7 @@
     // Renews the lease: the store still contained the known placement at `confirmedAt`.
     void onConfirmed(boot_time confirmedAt);
     // Records the start of this daemon. Its previous incarnation may have sent grants until
-    // `startedAt` that the upstream did not answer.
+    // `startedAt` to which the upstream did not respond.
     void recordDaemonStart(boot_time startedAt);
     // Sets the local upstream; `upstream` is empty if no local upstream may hold keys. Grants of
     // another incarnation are forgotten.
@@ -82,12 +82,12 @@
     // Records that the upstream accepted a grant. `sentAt` is the time at which the call was sent,
     // so the grant ends no earlier at the upstream than the hold time after `sentAt`.
     void onGranted(const range_grant &grant, boot_time sentAt);
-    // Records that a grant was sent but not answered. The upstream may apply it later, even after a
-    // release. The hold time counts from the arrival of the grant, so the grant is harmless once
+    // Records that a grant was sent without a response. The upstream may apply it later, even after
+    // a release. The hold time counts from the arrival of the grant, so the grant is harmless once
     // the hold time after its latest arrival has passed.
     void onGrantUnconfirmed(const range_grant &grant, milliseconds holdTime, boot_time sentAt);
-    // Returns whether the keys may be released and moved: no unanswered grant of any of them can
-    // still take effect.
+    // Returns whether the keys may be released and moved: no grant of any of them that is
+    // without a response can still take effect.
     bool canMove(key_interval keys, boot_time now) const;
     // Records that the upstream rejected a grant, since it knows a higher fence or runs as another
     // incarnation.
--- a/src/persimmonrail/keyspace/range_plan.cpp
+++ b/src/persimmonrail/keyspace/range_plan.cpp
@@ -164,7 +164,7 @@
 
 // Number of wanted rates that are tried for one move, each half of the one before. If the keys of a
 // large owner are evenly used, a window for the full rate has more keys than one move may contain.
-// With this limit the smallest share is a sixteenth.
+// With this limit the smallest rate that is tried is an eighth of the wanted rate.
 constexpr int maxWindowAttempts = 4;
 // A key with more than this multiple of the wanted rate stays with its owner, since its move would
 // only move the overload.
--- a/src/persimmonrail/keyspace/tests/keyspace_test.cpp
+++ b/src/persimmonrail/keyspace/tests/keyspace_test.cpp
@@ -267,8 +267,8 @@
     CHECK(manager.canSend(manager.dueGrants(start).front(), start));
 }
 
-// Guards against two owners of one key: an upstream may apply an unanswered grant after the keys
-// were released and moved to another upstream.
+// Guards against two owners of one key: an upstream may apply a grant without a response after the
+// keys were released and moved to another upstream.
 TEST_CASE("keys can move only after an unanswered grant of them can no longer take effect",
           "[keyspace]")
 {
@@ -289,7 +289,7 @@
     // Hold time of 3000 ms, clock drift of 60 ms and transit of 300 ms.
     CHECK(manager.canMove(keys, start + 3359ms) == canMoveAtOnce);
     CHECK(manager.canMove(keys, start + 3361ms));
-    // The earlier grant may still take effect after a later grant was answered.
+    // The earlier grant may still take effect after the upstream has responded to a later grant.
     manager.onGranted({{100, 200}, grant.fence, ""}, start + 1s);
     CHECK(manager.canMove(keys, start + 1s) == canMoveAtOnce);
 }
--- a/src/persimmonrail/peer/control_channel.cpp
+++ b/src/persimmonrail/peer/control_channel.cpp
@@ -7,7 +7,7 @@
 
 namespace persimmonrail {
 
-class control_channel::impl
+class control_channel::state
 {
 public:
     control_traffic traffic;
@@ -21,7 +21,7 @@
     // The channel counts malformed messages and replies to them. Without this call, protobuf would
     // print a line for each of them to the standard error stream, without any limit.
     google::protobuf::SetLogHandler(nullptr);
-    auto channel = std::make_unique<impl>();
+    auto channel = std::make_unique<state>();
     auto server = reply_server::listen(address, std::move(handler), channel->traffic);
     if (!server.ok()) {
         return server.status();
@@ -30,8 +30,8 @@
     return std::unique_ptr<control_channel>(new control_channel(std::move(channel)));
 }
 
-control_channel::control_channel(std::unique_ptr<impl> channel)
-    : m_impl(std::move(channel))
+control_channel::control_channel(std::unique_ptr<state> channel)
+    : m_state(std::move(channel))
 { }
 
 control_channel::~control_channel() = default;
@@ -39,17 +39,17 @@
 void control_channel::send(const std::string &address, const wire::Request &request,
                            milliseconds timeout, completion callback)
 {
-    m_impl->client.send(address, request, timeout, std::move(callback));
+    m_state->client.send(address, request, timeout, std::move(callback));
 }
 
 const std::string &control_channel::address() const
 {
-    return m_impl->server->address();
+    return m_state->server->address();
 }
 
 const control_traffic &control_channel::traffic() const
 {
-    return m_impl->traffic;
+    return m_state->traffic;
 }
 
 } // namespace persimmonrail
--- a/src/persimmonrail/peer/control_channel.h
+++ b/src/persimmonrail/peer/control_channel.h
@@ -66,9 +66,9 @@
     const control_traffic &traffic() const;
 
 private:
-    class impl;
-    explicit control_channel(std::unique_ptr<impl> channel);
-    std::unique_ptr<impl> m_impl;
+    class state;
+    explicit control_channel(std::unique_ptr<state> channel);
+    std::unique_ptr<state> m_state;
 };
 
 } // namespace persimmonrail
--- a/src/persimmonrail/router/router_state_store.cpp
+++ b/src/persimmonrail/router/router_state_store.cpp
@@ -72,8 +72,8 @@
                      std::minstd_rand(static_cast<unsigned>(now)));
         return addresses;
     };
-    hooks.onPathChange = [this](bool isDirect, const absl::Status &status) {
-        logEvent(isDirect ? "store-direct" : "store-through-peers",
+    hooks.onPathChange = [this](bool isDirectPathUp, const absl::Status &status) {
+        logEvent(isDirectPathUp ? "store-direct" : "store-through-peers",
                  absl::StrCat("reason=", status.ToString()));
     };
     hooks.now = [] { return std::chrono::steady_clock::now(); };
--- a/src/persimmonrail/router/store_proxy.cpp
+++ b/src/persimmonrail/router/store_proxy.cpp
@@ -12,7 +12,9 @@
 struct store_call
 {
     std::string operation;
+    // Key of the object, or prefix of the keys to be listed.
     std::string key;
+    // Version that a put expects; unused otherwise.
     uint64_t version = 0;
     std::string value;
 };
@@ -27,7 +29,7 @@
     return renderJson(object);
 }
 
-absl::StatusOr<store_call> parseCall(std::string_view text)
+absl::StatusOr<store_call> decodeCall(std::string_view text)
 {
     return decodeJson(text, "store call",
                       [](const Poco::JSON::Object &object) -> absl::StatusOr<store_call> {
@@ -38,21 +40,23 @@
                       });
 }
 
-std::string encodeResponse(const absl::StatusOr<object_list> &outcome)
+std::string encodeResponse(const absl::StatusOr<object_list> &result)
 {
-    return renderJson(encodeObjectList(outcome));
+    return renderJson(encodeObjectList(result));
 }
 
-// Whether the same call may succeed by another path.
-bool isPathFailure(const absl::Status &status)
+// Returns whether the same call may succeed through another daemon: the store was not reached, or
+// it rejected the call because the permitted rate is exceeded.
+bool mayRetryElsewhere(const absl::Status &status)
 {
     return absl::IsUnavailable(status) || absl::IsResourceExhausted(status);
 }
 
-class proxied_store
+// Calls the store directly, and through other daemons while the direct path fails.
+class store_with_fallback
 {
 public:
-    proxied_store(object_api direct, store_proxy_hooks hooks, store_proxy_options options)
+    store_with_fallback(object_api direct, store_proxy_hooks hooks, store_proxy_options options)
         : m_direct(std::move(direct))
         , m_hooks(std::move(hooks))
         , m_options(options)
@@ -62,24 +66,24 @@
 
     absl::StatusOr<stored_object> get(const std::string &key)
     {
-        return run<stored_object>([&] { return m_direct.get(key); }, {"get", key, 0, ""},
-                                  [](const object_list &list) -> absl::StatusOr<stored_object> {
-                                      return list.objects.empty()
-                                          ? absl::InternalError("peer returned no object")
-                                          : absl::StatusOr<stored_object>(list.objects.front());
-                                  });
+        return callWithFallback<stored_object>(
+            [&] { return m_direct.get(key); }, {"get", key, 0, ""},
+            [](const object_list &list) -> absl::StatusOr<stored_object> {
+                return list.objects.empty() ? absl::InternalError("peer returned no object")
+                                            : absl::StatusOr<stored_object>(list.objects.front());
+            });
     }
 
     absl::StatusOr<uint64_t> put(const std::string &key, uint64_t version, const std::string &value)
     {
-        return run<uint64_t>(
+        return callWithFallback<uint64_t>(
             [&] { return m_direct.put(key, version, value); }, {"put", key, version, value},
             [](const object_list &list) -> absl::StatusOr<uint64_t> { return list.revision; });
     }
 
     absl::StatusOr<object_list> list(const std::string &prefix)
     {
-        return run<object_list>(
+        return callWithFallback<object_list>(
             [&] { return m_direct.list(prefix); }, {"list", prefix, 0, ""},
             [](const object_list &list) -> absl::StatusOr<object_list> { return list; });
     }
@@ -93,29 +97,30 @@
 
     void recordDirectResult(const absl::Status &status)
     {
-        const bool isDirect = !isPathFailure(status);
+        const bool isDirectPathUp = !mayRetryElsewhere(status);
         bool changed = false;
         {
             const std::lock_guard lock(m_mutex);
-            changed = isDirect != m_isDirect;
-            m_isDirect = isDirect;
+            changed = isDirectPathUp != m_isDirectPathUp;
+            m_isDirectPathUp = isDirectPathUp;
             m_nextDirectAttemptAt =
-                isDirect ? steady_time{} : m_hooks.now() + m_options.directRetryDelay;
+                isDirectPathUp ? steady_time{} : m_hooks.now() + m_options.directRetryDelay;
         }
         if (changed) {
-            m_hooks.onPathChange(isDirect, status);
+            m_hooks.onPathChange(isDirectPathUp, status);
         }
     }
 
     template <typename Value, typename Direct, typename Extract>
-    absl::StatusOr<Value> run(const Direct &direct, const store_call &call, const Extract &extract)
+    absl::StatusOr<Value> callWithFallback(const Direct &direct, const store_call &call,
+                                           const Extract &extract)
     {
         absl::Status failure =
             absl::UnavailableError("the direct path to the store is unavailable");
         if (canTryDirect()) {
             auto response = direct();
             recordDirectResult(response.status());
-            if (!isPathFailure(response.status())) {
+            if (!mayRetryElsewhere(response.status())) {
                 return response;
             }
             failure = response.status();
@@ -127,7 +132,7 @@
             if (response.ok()) {
                 return extract(*response);
             }
-            if (!isPathFailure(response.status())) {
+            if (!mayRetryElsewhere(response.status())) {
                 return response.status();
             }
         }
@@ -136,11 +141,15 @@
 
     absl::StatusOr<object_list> callPeer(const std::string &address, const store_call &call)
     {
+        // The HTTP client measures deadlines by the real clock, also when a test replaces
+        // m_hooks.now().
         const auto response =
             simpleRequest(m_client, address, "POST", storeProxyPath, encodeCall(call),
                           std::chrono::steady_clock::now() + m_options.peerTimeout);
         if (!response.ok()) {
-            // Only a write can have taken effect.
+            // An Unknown error of a write is returned, because the write may have taken effect. All
+            // other errors of the request become Unavailable, so that the call is sent to the next
+            // peer.
             return call.operation == "put" && absl::IsUnknown(response.status())
                 ? response.status()
                 : absl::UnavailableError(response.status().message());
@@ -157,7 +166,7 @@
     const store_proxy_options m_options;
     http_client m_client;
     std::mutex m_mutex;
-    bool m_isDirect = true;
+    bool m_isDirectPathUp = true;
     steady_time m_nextDirectAttemptAt{};
 };
 
@@ -167,7 +176,7 @@
 {
     object_api proxied = direct;
     const auto store =
-        std::make_shared<proxied_store>(std::move(direct), std::move(hooks), options);
+        std::make_shared<store_with_fallback>(std::move(direct), std::move(hooks), options);
     proxied.get = [store](const std::string &key) { return store->get(key); };
     proxied.put = [store](const std::string &key, uint64_t version, const std::string &value) {
         return store->put(key, version, value);
@@ -178,17 +187,19 @@
 
 std::string serveStoreProxy(const object_api &direct, std::string_view body)
 {
-    const auto call = parseCall(body);
+    const auto call = decodeCall(body);
     if (!call.ok()) {
         return encodeResponse(call.status());
     }
     if (call->operation == "get") {
         const auto object = direct.get(call->key);
+        // The revision of the response to a get is unused.
         return encodeResponse(object.ok() ? absl::StatusOr<object_list>(object_list{0, {*object}})
                                           : object.status());
     }
     if (call->operation == "put") {
         const auto version = direct.put(call->key, call->version, call->value);
+        // The response to a put contains the new version as the revision of an empty list.
         return encodeResponse(version.ok() ? absl::StatusOr<object_list>(object_list{*version, {}})
                                            : version.status());
     }
--- a/src/persimmonrail/router/store_proxy.h
+++ b/src/persimmonrail/router/store_proxy.h
@@ -30,7 +30,7 @@
     // Returns the peer ports of other daemons, in the order in which they are tried.
     std::function<std::vector<std::string>()> peers;
     // Called when calls begin to go through peers, and when the direct path works again.
-    std::function<void(bool isDirect, const absl::Status &status)> onPathChange;
+    std::function<void(bool isDirectPathUp, const absl::Status &status)> onPathChange;
     std::function<steady_time()> now;
 };
 
--- a/src/persimmonrail/router/tests/store_proxy_test.cpp
+++ b/src/persimmonrail/router/tests/store_proxy_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// An in-memory store; every call fails with `error` unless it is OK.
+// An in-memory store. Every call fails with `error`, unless `error` is OK.
 struct memory_store
 {
     std::map<std::string, stored_object> objects;
@@ -43,6 +43,7 @@
             objects[key] = {key, ++revision, false, value};
             return revision;
         };
+        // Ignores the prefix: the tests use one only.
         api.list = [this](const std::string &) -> absl::StatusOr<object_list> {
             ++calls;
             if (!error.ok()) {
@@ -58,69 +59,73 @@
     }
 };
 
-struct proxy_site
+struct store_proxy_fixture
 {
-    memory_store store;
-    memory_store own;
+    memory_store peerStore;
+    memory_store directStore;
     std::unique_ptr<http_server> peer;
-    std::vector<bool> changes;
+    std::vector<bool> pathChanges;
     steady_time now = steady_time(1000s);
     object_api proxied;
 
-    proxy_site()
+    store_proxy_fixture()
     {
         peer = std::move(*http_server::listen({}, [this](server_exchange &exchange) {
             std::string body;
             exchange.readAll(body, 1 << 20, std::chrono::steady_clock::now() + 5s);
-            exchange.respond(200, serveStoreProxy(store.makeApi(), body), "application/json");
+            exchange.respond(200, serveStoreProxy(peerStore.makeApi(), body), "application/json");
         }));
-        proxied = makeProxiedStore(
-            own.makeApi(),
-            {[this] {
-                 return std::vector<std::string>{"127.0.0.1:1", peer->address()};
-             },
-             [this](bool isDirect, const absl::Status &) { changes.push_back(isDirect); },
-             [this] { return now; }});
+        proxied =
+            makeProxiedStore(directStore.makeApi(),
+                             {[this] {
+                                  // The first peer is unreachable.
+                                  return std::vector<std::string>{"127.0.0.1:1", peer->address()};
+                              },
+                              [this](bool isDirectPathUp, const absl::Status &) {
+                                  pathChanges.push_back(isDirectPathUp);
+                              },
+                              [this] { return now; }});
     }
 };
 
 } // namespace
 
-// Guards against an owner that loses its keys, or can't move them, because only its own path to the
-// store is cut.
+// Guards against an owner that loses its keys, or cannot move them, although other daemons still
+// reach the store.
 TEST_CASE("calls go through a peer while the direct path fails", "[router]")
 {
-    proxy_site site;
-    site.own.error = GENERATE(absl::UnavailableError("cut"), absl::ResourceExhaustedError("429"));
+    store_proxy_fixture site;
+    site.directStore.error =
+        GENERATE(absl::UnavailableError("cut"), absl::ResourceExhaustedError("429"));
     CHECK(*site.proxied.put("fleet/x", 0, R"({"a":"b"})") == 1);
     CHECK(site.proxied.get("fleet/x")->value == R"({"a":"b"})");
     CHECK(site.proxied.list("fleet/")->objects.size() == 1);
     CHECK(absl::IsAborted(site.proxied.put("fleet/x", 7, "{}").status()));
     CHECK(absl::IsNotFound(site.proxied.get("fleet/y").status()));
-    // The direct path is not tried at each call.
-    CHECK(site.own.calls == 1);
-    site.own.error = absl::OkStatus();
+    // The direct path was tried by the first call only.
+    CHECK(site.directStore.calls == 1);
+    site.directStore.error = absl::OkStatus();
     site.now += 1s;
     CHECK(absl::IsNotFound(site.proxied.get("fleet/x").status()));
-    CHECK(site.own.calls == 2);
-    CHECK(site.changes == std::vector<bool>{false, true});
+    CHECK(site.directStore.calls == 2);
+    CHECK(site.pathChanges == std::vector<bool>{false, true});
 }
 
 // Guards against a write that takes effect twice, or that is wrongly reported as having had no
 // effect.
 TEST_CASE("a write with an unknown outcome is not sent by another path", "[router]")
 {
-    proxy_site site;
-    site.own.error = absl::UnknownError("no response");
+    store_proxy_fixture site;
+    site.directStore.error = absl::UnknownError("no response");
     CHECK(absl::IsUnknown(site.proxied.put("fleet/x", 0, "{}").status()));
-    CHECK(site.store.calls == 0);
+    CHECK(site.peerStore.calls == 0);
 }
 
 TEST_CASE("without any path the direct error is returned", "[router]")
 {
-    proxy_site site;
-    site.own.error = absl::UnavailableError("cut");
-    site.store.error = absl::UnavailableError("down");
+    store_proxy_fixture site;
+    site.directStore.error = absl::UnavailableError("cut");
+    site.peerStore.error = absl::UnavailableError("down");
     CHECK(absl::IsUnavailable(site.proxied.get("fleet/x").status()));
     CHECK(absl::IsUnavailable(site.proxied.list("fleet/").status()));
 }
--- a/src/persimmonrail/sync/rendezvous_election.cpp
+++ b/src/persimmonrail/sync/rendezvous_election.cpp
@@ -4,10 +4,11 @@
 
 namespace persimmonrail {
 
-rendezvous_election::rendezvous_election(std::string selfName, std::string role, size_t maxHolders)
+rendezvous_election::rendezvous_election(std::string selfName, std::string role,
+                                         size_t targetHolderCount)
     : m_selfName(std::move(selfName))
     , m_role(std::move(role))
-    , m_maxHolders(maxHolders)
+    , m_targetHolderCount(targetHolderCount)
 { }
 
 void rendezvous_election::setMembers(const std::vector<const member_record *> &eligible,
@@ -37,10 +38,10 @@
     } else if (!m_candidateSince) {
         m_candidateSince = now;
     }
-    std::erase_if(m_responses, [&](const auto &response) {
+    std::erase_if(m_lastReplies, [&](const auto &reply) {
         return std::none_of(
             m_candidates.begin(), m_candidates.end(),
-            [&](const member_record &member) { return member.id.name == response.first; });
+            [&](const member_record &member) { return member.id.name == reply.first; });
     });
 }
 
@@ -54,13 +55,13 @@
     return targets;
 }
 
-void rendezvous_election::recordResponse(std::string_view name, steady_time now)
+void rendezvous_election::recordReply(std::string_view name, steady_time now)
 {
     const bool isCandidateName =
         std::any_of(m_candidates.begin(), m_candidates.end(),
                     [&](const member_record &member) { return member.id.name == name; });
     if (isCandidateName) {
-        m_responses.insert_or_assign(std::string(name), now);
+        m_lastReplies.insert_or_assign(std::string(name), now);
     }
 }
 
@@ -76,13 +77,14 @@
             break;
         }
         ++precedingCount;
-        const auto response = m_responses.find(member.id.name);
-        if (response != m_responses.end() && now - response->second < maxElectionResponseAge) {
+        const auto reply = m_lastReplies.find(member.id.name);
+        if (reply != m_lastReplies.end() && now - reply->second < maxElectionReplyAge) {
             ++responsiveCount;
         }
     }
-    return precedingCount < m_maxHolders
-        || (responsiveCount < m_maxHolders && now - *m_candidateSince >= electionGraceDelay);
+    return precedingCount < m_targetHolderCount
+        || (responsiveCount < m_targetHolderCount
+            && now - *m_candidateSince >= electionGracePeriod);
 }
 
 std::vector<std::string> rendezvous_election::candidates() const
--- a/src/persimmonrail/sync/tests/election_test.cpp
+++ b/src/persimmonrail/sync/tests/election_test.cpp
@@ -108,7 +108,7 @@
             for (const auto &target : election.pingTargets()) {
                 if (std::find(responding.begin(), responding.end(), target.id.name)
                     != responding.end()) {
-                    election.recordResponse(target.id.name, now);
+                    election.recordReply(target.id.name, now);
                 }
             }
             if (election.isRelay(now)) {
--- a/tests/measure/admission_policies.cpp
+++ b/tests/measure/admission_policies.cpp
@@ -171,7 +171,7 @@
     {
         m_queue.finish(id, outcome, reason, latency, now);
     }
-    int limit() const override { return m_queue.limit(); }
+    int limit() const override { return m_queue.concurrencyLimit(); }
 
 private:
     admission_queue m_queue;
